--- a/benchlink/src/host.rs
+++ b/benchlink/src/host.rs
@@ -16,9 +16,9 @@
     fn new(seed: u64, now: sr::Time, env: &Env) -> Result<Instance, String> {
         let (mut settings, tables) = env.settle().map_err(|e| format!("PROVISION.env: {e}"))?;
         // The simulator's own clock: four times the time for asking, anew from each call that fails.
-        settings.lost_within = sr::Span(settings.ask_within.0.saturating_mul(4));
-        settings.saved_within = settings.lost_within;
-        settings.failed_calls_renew = true;
+        settings.validity_after_loss = sr::Span(settings.max_poll_interval.0.saturating_mul(4));
+        settings.saved_list_validity = settings.validity_after_loss;
+        settings.failed_calls_renew_validity = true;
         let balancer = sr::Balancer::new(settings, seed, now).map_err(|e| format!("PROVISION.env: {e}"))?;
         Ok(Instance { balancer, tables })
     }
@@ -28,10 +28,10 @@
     }
 
     fn entry(&mut self, entry: &Entry) -> Result<sr::ListEntry, String> {
-        let standing = match entry.4.as_str() {
-            "ready" => sr::Standing::Ready,
-            "draining" => sr::Standing::Draining,
-            "gone" => sr::Standing::Gone,
+        let state = match entry.4.as_str() {
+            "ready" => sr::WorkerState::Ready,
+            "draining" => sr::WorkerState::Draining,
+            "gone" => sr::WorkerState::Gone,
             other => return Err(format!("PAGE.entries: state {other:?}")),
         };
         Ok(sr::ListEntry {
@@ -39,7 +39,7 @@
             zone: sr::ZoneId(self.tables.zones.number(&entry.1)),
             kind: sr::KindId(self.tables.kinds.number(&entry.2)),
             cell: entry.3,
-            standing,
+            state,
             size: entry.5.unwrap_or(1.0),
             up_since: entry.6.filter(|&t| t > 0).map(sr::Time),
         })
@@ -152,8 +152,10 @@
                 });
                 (i, Some(event))
             }
-            Event::Dropped(i, request) => (i, Some(sr::Event::Closed(sr::RequestId(request)))),
-            Event::Begun(i, request, attempt) => (i, Some(sr::Event::Began(sr::RequestId(request), attempt))),
+            Event::Dropped(i, request) => (i, Some(sr::Event::RequestClosed(sr::RequestId(request)))),
+            Event::Begun(i, request, attempt) => {
+                (i, Some(sr::Event::StreamStarted(sr::RequestId(request), attempt)))
+            }
             Event::Pong { instance: i, worker, status, row } => {
                 let instance = find(&mut self.instances, i, "PONG")?;
                 let report = instance.report(row);
@@ -162,11 +164,11 @@
             }
             Event::Change(i, request, attempt, kind, level) => {
                 let note = match kind {
-                    1 => sr::Note::Started,
-                    2 => sr::Note::Progress(level.unwrap_or(0.0)),
+                    1 => sr::AttemptUpdate::Started,
+                    2 => sr::AttemptUpdate::Progress(level.unwrap_or(0.0)),
                     _ => return Ok(()),
                 };
-                (i, Some(sr::Event::Noted(sr::RequestId(request), attempt, note)))
+                (i, Some(sr::Event::AttemptUpdate(sr::RequestId(request), attempt, note)))
             }
             Event::Done { instance: i, request, attempt, closed, status, row } => {
                 let instance = find(&mut self.instances, i, "DONE")?;
@@ -222,7 +224,7 @@
         sr::Action::Probe(worker) => {
             write!(out, "[\"ASK_LOAD\",{i},{}]", workers.quoted(worker.0))
         }
-        sr::Action::Release(worker) => {
+        sr::Action::CloseIdle(worker) => {
             write!(out, "[\"RELEASE\",{i},{}]", workers.quoted(worker.0))
         }
     };
--- a/node/benches/slopes/terms.rs
+++ b/node/benches/slopes/terms.rs
@@ -43,7 +43,7 @@
         deadline: sr::Span::from_secs(300.0),
         worth,
         late_worth: 0.5,
-        effect: sr::Effect::Safe,
+        idempotency: sr::Idempotency::Safe,
         window: sr::Span(0),
         kind: None,
     };
@@ -55,19 +55,19 @@
         tenants: vec![sr::Tenant { quota_per_s }; shape.tenants],
         over_share_worth: 0.05,
         prices: sr::Prices { cross_zone: 0.03, handshake: 0.02, waste: 0.04, probe: 0.0018, late_fail: 0.07 },
-        discovery: sr::Discovery::Asked,
+        discovery: sr::Discovery::OnRequest,
         tick: sr::Span(4_000_000),
-        tells_start: true,
+        reports_start: true,
         probing: true,
-        parallel: true,
+        parallel_attempts: true,
         max_attempts: 5,
         max_hold_off: sr::Span::from_secs(2.0),
         warm_after: sr::Span::from_secs(7.0),
         cold_from: 0.4,
         fall_multiple: 2.5,
         worth_by_work: true,
-        marks_retries: true,
-        sized: true,
+        marked_retries: true,
+        has_worker_sizes: true,
         ..sr::Settings::default()
     }
 }
@@ -78,7 +78,7 @@
         zone: format!("zone-{}", runner % ZONES),
         kind: format!("kind-{}", runner % 4),
         cell: (runner / 8) as u32,
-        standing: sr::Standing::Ready,
+        standing: sr::WorkerState::Ready,
         size: SLOTS[runner % 4],
         up_since,
     }
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -195,8 +195,10 @@
         match input {
             Input::Arrived(arrival) => self.arrived(now, arrival),
             Input::ClientGone(ticket) => self.client_gone(now, ticket),
-            Input::Started { id, from } => self.noted(now, &id, &from, sr::Note::Started),
-            Input::Progress { id, from, share } => self.noted(now, &id, &from, sr::Note::Progress(share)),
+            Input::Started { id, from } => self.noted(now, &id, &from, sr::AttemptUpdate::Started),
+            Input::Progress { id, from, share } => {
+                self.noted(now, &id, &from, sr::AttemptUpdate::Progress(share))
+            }
             Input::Told { id, from, ending } => {
                 if let Some(attempt) = self.live(&id, &from) {
                     self.told(now, attempt, ending);
@@ -222,7 +224,7 @@
                 if self.roster != at {
                     self.roster = at;
                     self.effects.push(Effect::Subscribe(at));
-                    self.tell(now, sr::Event::ListMoved);
+                    self.tell(now, sr::Event::DiscoveryMoved);
                 }
             }
             Input::StopAt(at) => {
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -15,9 +15,9 @@
         Some(AttemptId { request, number: number as u32 })
     }
 
-    pub(super) fn noted(&mut self, now: sr::Time, id: &str, from: &str, note: sr::Note) {
+    pub(super) fn noted(&mut self, now: sr::Time, id: &str, from: &str, note: sr::AttemptUpdate) {
         if let Some(AttemptId { request, number }) = self.live(id, from) {
-            self.tell(now, sr::Event::Noted(sr::RequestId(request), number, note));
+            self.tell(now, sr::Event::AttemptUpdate(sr::RequestId(request), number, note));
         }
     }
 
@@ -60,11 +60,11 @@
         let (earlier, this) = request.attempts.split_at(attempt.number as usize);
         let class = &self.settings.classes[request.class as usize];
         let ran = earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent).chain(request.prior).min();
-        let known = match class.effect {
-            sr::Effect::Keyed(_) => {
+        let known = match class.idempotency {
+            sr::Idempotency::Keyed(_) => {
                 ran.is_none_or(|first| now < first + class.window - sr::Span(self.settings.tick.0 * 2))
             }
-            sr::Effect::Safe | sr::Effect::Unsafe => true,
+            sr::Idempotency::Safe | sr::Idempotency::Unsafe => true,
         };
         this.first().is_some_and(|a| a.live) && now < request.deadline && known
     }
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -31,9 +31,9 @@
     /// report is believed by.
     fn age_of_reports(&mut self, now: sr::Time) {
         let age = self.digest.as_ref().filter(|digest| digest.fresh(now)).map(|digest| digest.every.secs());
-        if self.settings.report_age != age {
-            self.settings.report_age = age;
-            self.events.push_back(sr::Event::Retuned(Box::new(self.settings.clone())));
+        if self.settings.report_age_s != age {
+            self.settings.report_age_s = age;
+            self.events.push_back(sr::Event::SettingsChanged(Box::new(self.settings.clone())));
         }
     }
 
--- a/node/src/core/hands.rs
+++ b/node/src/core/hands.rs
@@ -40,7 +40,7 @@
             self.lists.iter().filter(|((_, w), _)| *w == worker).map(|(_, e)| e.clone()).collect();
         if !entries.is_empty() {
             let mut entries = self.as_told(entries);
-            if !out && self.settings.drain_binds_alone {
+            if !out && self.settings.only_draining_excludes {
                 // There a drain holds until a later start: to the module the runner starts now, and cold.
                 entries.iter_mut().for_each(|entry| entry.up_since = Some(now));
             }
@@ -53,8 +53,8 @@
     /// Entries as the module is to hear them: a runner taken out by hand drains.
     pub(super) fn as_told(&self, mut entries: Vec<sr::ListEntry>) -> Vec<sr::ListEntry> {
         for entry in &mut entries {
-            if self.banned.contains(&entry.worker.0) && entry.standing == sr::Standing::Ready {
-                entry.standing = sr::Standing::Draining;
+            if self.banned.contains(&entry.worker.0) && entry.state == sr::WorkerState::Ready {
+                entry.state = sr::WorkerState::Draining;
             }
         }
         entries
@@ -64,7 +64,7 @@
     pub(super) fn count_runners(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
         for ((_, worker), entry) in &self.lists {
-            let avoided = self.banned.contains(worker) || entry.standing != sr::Standing::Ready;
+            let avoided = self.banned.contains(worker) || entry.state != sr::WorkerState::Ready;
             *listed.entry(*worker).or_insert(true) &= avoided;
         }
         self.standings = listed;
--- a/node/src/core/input.rs
+++ b/node/src/core/input.rs
@@ -63,7 +63,7 @@
     pub zone: String,
     pub kind: String,
     pub cell: u32,
-    pub standing: sr::Standing,
+    pub standing: sr::WorkerState,
     pub size: f64,
     pub up_since: Option<sr::Time>,
 }
--- a/node/src/core/keyed.rs
+++ b/node/src/core/keyed.rs
@@ -15,7 +15,7 @@
     /// Whether a client's key counts for this class: where a repeat may do harm.
     pub fn wants_key(&self, class: u32) -> bool {
         let class = self.settings.classes.get(class as usize);
-        self.keys.is_some() && class.is_some_and(|class| class.effect != sr::Effect::Safe)
+        self.keys.is_some() && class.is_some_and(|class| class.idempotency != sr::Idempotency::Safe)
     }
 
     /// The keys, where they are kept.
@@ -56,10 +56,12 @@
         let sent = ran.map(|attempt| {
             let place = self.places.get(&attempt.runner).copied().map(|place| {
                 // Only as much of it as tells halls apart that drop a repeat for each other.
-                match self.settings.classes[request.class as usize].effect {
-                    sr::Effect::Keyed(sr::Group::All) => keys::Place { zone: 0, cell: 0 },
-                    sr::Effect::Keyed(sr::Group::Zone) => keys::Place { cell: 0, ..place },
-                    sr::Effect::Keyed(sr::Group::Cell) | sr::Effect::Safe | sr::Effect::Unsafe => place,
+                match self.settings.classes[request.class as usize].idempotency {
+                    sr::Idempotency::Keyed(sr::DedupScope::All) => keys::Place { zone: 0, cell: 0 },
+                    sr::Idempotency::Keyed(sr::DedupScope::Zone) => keys::Place { cell: 0, ..place },
+                    sr::Idempotency::Keyed(sr::DedupScope::Cell)
+                    | sr::Idempotency::Safe
+                    | sr::Idempotency::Unsafe => place,
                 }
             });
             keys::Sent::once(place, attempt.sent)
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -18,7 +18,7 @@
                 zone: sr::ZoneId(zone),
                 kind: sr::KindId(self.tables.kinds.number(&runner.kind)),
                 cell: runner.cell,
-                standing: runner.standing,
+                state: runner.standing,
                 size: runner.size,
                 up_since: runner.up_since,
             });
@@ -26,8 +26,8 @@
         if kind == sr::ListKind::Delta {
             for entry in &changed {
                 let key = (source, entry.worker.0);
-                match entry.standing {
-                    sr::Standing::Gone => self.lists.remove(&key),
+                match entry.state {
+                    sr::WorkerState::Gone => self.lists.remove(&key),
                     _ => self.lists.insert(key, entry.clone()),
                 };
             }
--- a/node/src/core/module.rs
+++ b/node/src/core/module.rs
@@ -45,7 +45,7 @@
             sr::Action::Probe(worker) => {
                 self.effects.push(Effect::Probe(self.tables.workers.name(worker.0).to_owned()));
             }
-            sr::Action::Release(worker) => {
+            sr::Action::CloseIdle(worker) => {
                 self.effects.push(Effect::Release(self.tables.workers.name(worker.0).to_owned()));
             }
         }
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -37,7 +37,8 @@
                 keys::Admission::New => {}
                 keys::Admission::Again(sent) => {
                     let place = sent.place.unwrap_or(keys::Place { zone: u32::MAX, cell: 0 });
-                    prior = Some(sr::Prior { zone: place.zone(), cell: place.cell, sent: sent.first });
+                    prior =
+                        Some(sr::PriorAttempt { zone: place.zone(), cell: place.cell, sent_at: sent.first });
                 }
                 keys::Admission::Join(run) => return self.join(now, run.0 as u32, ticket, deadline),
                 other => {
@@ -51,7 +52,7 @@
         self.tickets.insert(ticket, number);
         let key = key.filter(|_| self.keys.is_some()).map(|key| Held { member, text: key.text });
         let (waiting, attempts) = (vec![(ticket, deadline)], Vec::new());
-        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent), false);
+        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent_at), false);
         let request = Request { waiting, id, class, deadline, job, key, prior: sent, answered, attempts };
         self.requests.insert(number, request);
         self.set_timer(deadline, Timer::Deadline(number));
@@ -99,7 +100,7 @@
         self.tickets.insert(ticket, request);
         self.set_timer(deadline, Timer::Deadline(request));
         if later {
-            self.tell(now, sr::Event::Extended(sr::RequestId(request), deadline));
+            self.tell(now, sr::Event::DeadlineExtended(sr::RequestId(request), deadline));
         }
     }
 
@@ -111,7 +112,7 @@
         held.waiting.retain(|(waiting, _)| *waiting != ticket);
         if held.waiting.is_empty() {
             self.answered(now, request, None);
-            self.tell(now, sr::Event::Closed(sr::RequestId(request)));
+            self.tell(now, sr::Event::RequestClosed(sr::RequestId(request)));
             self.forget(request);
         }
     }
@@ -174,7 +175,7 @@
                 return;
             }
             self.answered(now, request, None);
-            self.tell(now, sr::Event::Closed(sr::RequestId(request)));
+            self.tell(now, sr::Event::RequestClosed(sr::RequestId(request)));
         }
         let attempts = self.requests.get(&request).map_or(0, |held| held.attempts.len());
         for number in 0..attempts as u32 {
--- a/node/src/core/retune.rs
+++ b/node/src/core/retune.rs
@@ -39,8 +39,8 @@
         self.with_tenants = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let renewed = renew(&self.settings, &mut self.tables, settings, &tables);
-        let report_age = self.settings.report_age;
-        self.settings = sr::Settings { report_age, ..renewed.settings };
+        let report_age_s = self.settings.report_age_s;
+        self.settings = sr::Settings { report_age_s, ..renewed.settings };
         for (number, rule) in renewed.classes.iter().zip(rules) {
             if let Some(store) = self.keys.as_mut().filter(|_| *number as usize >= before) {
                 store.add_class(rule);
@@ -53,6 +53,6 @@
                 self.vanished.entry(number).or_insert(until);
             }
         }
-        self.tell(now, sr::Event::Retuned(Box::new(self.settings.clone())));
+        self.tell(now, sr::Event::SettingsChanged(Box::new(self.settings.clone())));
     }
 }
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -85,7 +85,7 @@
             let standing = host.standing();
             match host.dial.parse() {
                 Ok(at) => self.runners.address(&host.host, at),
-                Err(e) if standing == sr::Standing::Ready => {
+                Err(e) if standing == sr::WorkerState::Ready => {
                     log::warn!("discovery: address {:?} of runner {}: {e}", host.dial, host.host);
                     continue;
                 }
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -527,9 +527,9 @@
         let workers = self.workers.borrow();
         let Some(worker) = workers.get(wid) else { return };
         let standing = match worker {
-            worker if worker.connections.is_empty() => sr::Standing::Gone,
-            Worker { quiet: true, .. } => sr::Standing::Draining,
-            _ => sr::Standing::Ready,
+            worker if worker.connections.is_empty() => sr::WorkerState::Gone,
+            Worker { quiet: true, .. } => sr::WorkerState::Draining,
+            _ => sr::WorkerState::Ready,
         };
         let listed = Listed {
             name: runner_name(wid),
--- a/node/src/net/hosts.rs
+++ b/node/src/net/hosts.rs
@@ -33,15 +33,15 @@
 
 impl Host {
     /// How it stands by what its entry says.
-    pub fn standing(&self) -> sr::Standing {
+    pub fn standing(&self) -> sr::WorkerState {
         match self.health.as_str() {
-            "active" => sr::Standing::Ready,
-            "leaving" => sr::Standing::Draining,
-            "left" => sr::Standing::Gone,
+            "active" => sr::WorkerState::Ready,
+            "leaving" => sr::WorkerState::Draining,
+            "left" => sr::WorkerState::Gone,
             other => {
                 // Whatever it means, it is not a call for work.
                 log::warn!("discovery says {other:?} of runner {}: taken for draining", self.host);
-                sr::Standing::Draining
+                sr::WorkerState::Draining
             }
         }
     }
--- a/node/src/net/platform/head.rs
+++ b/node/src/net/platform/head.rs
@@ -34,7 +34,8 @@
         }
         let class_name = needed("x-priority-class")?;
         // Only jobs of a keyed class carry a key: one that must never run twice may come without.
-        let known = |number, class: &sr::Class| (number, matches!(class.effect, sr::Effect::Keyed(_)));
+        let known =
+            |number, class: &sr::Class| (number, matches!(class.idempotency, sr::Idempotency::Keyed(_)));
         let class = runtime.with_class(class_name, known);
         let (class, keyed) = class.ok_or("x-priority-class names no known class")?;
         let tenant_name = optional("x-tenant-id")?;
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -242,8 +242,8 @@
     /// For how long after a start a class's marked later try may be of a request that a predecessor sent
     /// where this process can't know. Workers of one group that is all of them drop it anywhere.
     pub fn doubt(&self, class: &sr::Class) -> sr::Span {
-        match class.effect {
-            sr::Effect::Safe | sr::Effect::Keyed(sr::Group::All) => sr::Span(0),
+        match class.idempotency {
+            sr::Idempotency::Safe | sr::Idempotency::Keyed(sr::DedupScope::All) => sr::Span(0),
             _ => self.doubt_s.map_or(self.rule(class).keep, sr::Span::from_secs),
         }
     }
--- a/node/tests/digest/world.rs
+++ b/node/tests/digest/world.rs
@@ -38,23 +38,23 @@
     }
 
     /// One whose module has been told this age of reports.
-    pub fn with(digest: bool, report_age: Option<f64>) -> World {
+    pub fn with(digest: bool, report_age_s: Option<f64>) -> World {
         let class = sr::Class {
             objective: sr::Span::from_secs(60.0),
             stretch: 2.0,
             deadline: sr::Span::from_secs(600.0),
             worth: 1.0,
             late_worth: 0.0,
-            effect: sr::Effect::Safe,
+            idempotency: sr::Idempotency::Safe,
             window: sr::Span(1),
             kind: None,
         };
         let settings = sr::Settings {
             classes: vec![class],
             max_attempts: 1,
-            parallel: true,
+            parallel_attempts: true,
             probing: true,
-            report_age,
+            report_age_s,
             ..sr::Settings::default()
         };
         let tables = Tables {
@@ -77,7 +77,7 @@
             zone: "a".to_owned(),
             kind: "k".to_owned(),
             cell: 0,
-            standing: sr::Standing::Ready,
+            standing: sr::WorkerState::Ready,
             size: 1.0,
             up_since: None,
         });
--- a/node/tests/faktory_model.rs
+++ b/node/tests/faktory_model.rs
@@ -75,7 +75,7 @@
         deadline: sr::Span::from_secs(5.0),
         worth: 1.0,
         late_worth: 0.0,
-        effect: sr::Effect::Safe,
+        idempotency: sr::Idempotency::Safe,
         window: sr::Span(0),
         kind: None,
     };
--- a/node/tests/files.rs
+++ b/node/tests/files.rs
@@ -78,7 +78,7 @@
         assert!(limits.idle <= Duration::from_secs(8));
         assert!(limits.open * limits.body <= 192 * 1024 * 1024 / 2);
         assert_eq!(Limits::new(sockets, 192, &test_env(), false).callers, 0);
-        let told = sablerun::Settings::default().told_within;
+        let told = sablerun::Settings::default().validity_after_silence;
         assert!(limits.watch_silence + Duration::from_nanos(told.0) <= Duration::from_secs(6));
     }
 }
--- a/node/tests/model/main.rs
+++ b/node/tests/model/main.rs
@@ -46,11 +46,11 @@
 #[test]
 fn a_whole_list_leaves_other_sources_runners_alone() {
     let mut world = World::new(1);
-    let gone = (0..4).map(|runner| listed(runner, sr::Standing::Gone)).collect();
+    let gone = (0..4).map(|runner| listed(runner, sr::WorkerState::Gone)).collect();
     world.input(Input::List(Source::Discovery, sr::ListKind::Delta, gone), None);
-    world.standing = [sr::Standing::Gone; 4];
-    world.standing[1] = sr::Standing::Ready;
-    let caller = vec![listed(1, sr::Standing::Ready)];
+    world.standing = [sr::WorkerState::Gone; 4];
+    world.standing[1] = sr::WorkerState::Ready;
+    let caller = vec![listed(1, sr::WorkerState::Ready)];
     world.input(Input::List(Source::Callers, sr::ListKind::Delta, caller), None);
     world.input(Input::List(Source::Discovery, sr::ListKind::Full, Vec::new()), None);
     world.take(Step::Arrive { class: 0, patience_ms: 1000, key: None, retry: false });
@@ -92,13 +92,13 @@
     let list = |world: &mut World, standing| {
         of_hall.iter().for_each(|&runner| world.take(Step::List { runner, standing }));
     };
-    list(&mut world, sr::Standing::Gone);
+    list(&mut world, sr::WorkerState::Gone);
     world.pass(at + WINDOW - sr::Span(100_000_000));
     world.take(arrive(2000));
     assert_eq!(world.core.keys().unwrap().counts().again, 1);
     assert_eq!(world.tried.len(), before, "sent to another hall");
     world.pass(at + WINDOW + sr::Span(10_000_000));
-    list(&mut world, sr::Standing::Ready);
+    list(&mut world, sr::WorkerState::Ready);
     world.take(Step::Pass { ms: 3000 });
     assert_eq!(world.tried.len(), before, "sent where nobody knows the key any more");
     assert_eq!((world.core.tally().failed, world.core.tally().refused), (2, 0));
--- a/node/tests/model/rules.rs
+++ b/node/tests/model/rules.rs
@@ -22,7 +22,7 @@
                     assert!(self.asked.iter().any(waits), "an attempt for nobody");
                     assert_eq!(
                         self.standing[runner],
-                        sr::Standing::Ready,
+                        sr::WorkerState::Ready,
                         "work for one that drains or is gone"
                     );
                     let others: Vec<_> = self.tried.iter().filter(|t| t.ticket == job).collect();
@@ -33,9 +33,9 @@
                     );
                     let ran = others.iter().find(|t| t.over != Some(false));
                     let allowed = ran.is_none_or(|ran| match effects_of(asked.class) {
-                        sr::Effect::Safe => true,
-                        sr::Effect::Keyed(_) => ZONES[ran.runner] == ZONES[runner],
-                        sr::Effect::Unsafe => false,
+                        sr::Idempotency::Safe => true,
+                        sr::Idempotency::Keyed(_) => ZONES[ran.runner] == ZONES[runner],
+                        sr::Idempotency::Unsafe => false,
                     });
                     assert!(allowed, "repeated further than its class permits");
                     self.check_key(job, runner);
@@ -113,7 +113,7 @@
                 assert!(first.is_some(), "handed back what was not made under this key");
             }
             Answer::Refused(_) => {
-                let harmless = effects_of(self.asked[ticket].class) == sr::Effect::Safe;
+                let harmless = effects_of(self.asked[ticket].class) == sr::Idempotency::Safe;
                 assert!(harmless || tried.all(|t| t.over == Some(false)), "refused what may have run");
             }
             Answer::Failed(_) => {}
--- a/node/tests/model/steps.rs
+++ b/node/tests/model/steps.rs
@@ -30,7 +30,7 @@
     },
     List {
         runner: usize,
-        standing: sr::Standing,
+        standing: sr::WorkerState,
     },
     ListFailed,
     RosterAt(u8),
@@ -47,10 +47,10 @@
     let index = any::<prop::sample::Index>;
     let outcome = prop::sample::select(vec![Ok, Ok, Ok, Error, Full, Timeout, ConnectFailed, Reset]);
     let standing = prop::sample::select(vec![
-        sr::Standing::Ready,
-        sr::Standing::Ready,
-        sr::Standing::Draining,
-        sr::Standing::Gone,
+        sr::WorkerState::Ready,
+        sr::WorkerState::Ready,
+        sr::WorkerState::Draining,
+        sr::WorkerState::Gone,
     ]);
     prop_oneof![
         5 => (0..3u32, prop_oneof![9 => 1..3000u64, 1 => Just(0)], prop::option::of(0..3u8), any::<bool>())
--- a/node/tests/model/world.rs
+++ b/node/tests/model/world.rs
@@ -42,7 +42,7 @@
     pub now: sr::Time,
     pub asked: Vec<Asked>,
     pub tried: Vec<Tried>,
-    pub standing: [sr::Standing; 4],
+    pub standing: [sr::WorkerState; 4],
     pub roster: SocketAddr,
     pub asked_for_list: usize,
     pub stop: Option<sr::Time>,
@@ -61,33 +61,33 @@
     format!("s-{runner}")
 }
 
-pub fn listed(runner: usize, standing: sr::Standing) -> Listed {
+pub fn listed(runner: usize, standing: sr::WorkerState) -> Listed {
     let (zone, kind) = (ZONES[runner].to_owned(), "k".to_owned());
     Listed { name: name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
 }
 
-pub fn effects() -> [sr::Effect; 3] {
-    [sr::Effect::Safe, sr::Effect::Keyed(sr::Group::Zone), sr::Effect::Unsafe]
+pub fn effects() -> [sr::Idempotency; 3] {
+    [sr::Idempotency::Safe, sr::Idempotency::Keyed(sr::DedupScope::Zone), sr::Idempotency::Unsafe]
 }
 
 impl World {
     pub fn new(seed: u64) -> World {
-        let class = |effect| sr::Class {
+        let class = |idempotency| sr::Class {
             objective: sr::Span::from_secs(0.2),
             stretch: 2.0,
             deadline: sr::Span::from_secs(3.0),
             worth: 1.0,
             late_worth: 0.0,
-            effect,
+            idempotency,
             window: WINDOW,
             kind: None,
         };
         let settings = sr::Settings {
             classes: effects().into_iter().map(class).collect(),
-            parallel: true,
-            tells_start: true,
+            parallel_attempts: true,
+            reports_start: true,
             max_attempts: 5,
-            discovery: sr::Discovery::Asked,
+            discovery: sr::Discovery::OnRequest,
             max_hold_off: sr::Span::from_secs(2.0),
             ..sr::Settings::default()
         };
@@ -105,12 +105,12 @@
             hold_off: sr::Span(1),
         };
         core.keep_keys(keys::Store::new(bounds, vec![keys::Rule { window: WINDOW, keep: KEEP }; 3]));
-        let standing = [sr::Standing::Ready; 4];
+        let standing = [sr::WorkerState::Ready; 4];
         let (asked, tried) = (Vec::new(), Vec::new());
         let (roster, asked_for_list, stop) = (roster(1), 0, None);
         let settled = HashMap::new();
         let mut world = World { core, now, asked, tried, standing, roster, asked_for_list, stop, settled };
-        let all = (0..4).map(|runner| listed(runner, sr::Standing::Ready)).collect();
+        let all = (0..4).map(|runner| listed(runner, sr::WorkerState::Ready)).collect();
         world.input(Input::List(Source::Discovery, sr::ListKind::Saved, all), None);
         // A saved list sends nothing until discovery has told what has changed since.
         world.input(Input::List(Source::Discovery, sr::ListKind::Delta, Vec::new()), None);
@@ -118,6 +118,6 @@
     }
 }
 
-pub fn effects_of(class: u32) -> sr::Effect {
+pub fn effects_of(class: u32) -> sr::Idempotency {
     effects()[class as usize]
 }
--- a/node/tests/retuning.rs
+++ b/node/tests/retuning.rs
@@ -9,14 +9,14 @@
 const SECOND: sr::Span = sr::Span(1_000_000_000);
 const START: sr::Time = sr::Time(1_000 * SECOND.0);
 
-fn class(effect: sr::Effect) -> sr::Class {
+fn class(idempotency: sr::Idempotency) -> sr::Class {
     sr::Class {
         objective: sr::Span::from_secs(2.0),
         stretch: 2.0,
         deadline: sr::Span::from_secs(6.0),
         worth: 1.0,
         late_worth: 0.0,
-        effect,
+        idempotency,
         window: SECOND,
         kind: None,
     }
@@ -36,10 +36,10 @@
 
 fn settings(tenants: usize) -> sr::Settings {
     sr::Settings {
-        classes: vec![class(sr::Effect::Safe), class(sr::Effect::Keyed(sr::Group::All))],
+        classes: vec![class(sr::Idempotency::Safe), class(sr::Idempotency::Keyed(sr::DedupScope::All))],
         tenants: vec![sr::Tenant { quota_per_s: 1000.0 }; tenants],
         max_attempts: 5,
-        parallel: true,
+        parallel_attempts: true,
         max_hold_off: SECOND,
         ..sr::Settings::default()
     }
@@ -79,7 +79,7 @@
         zone: "a".to_owned(),
         kind: "k".to_owned(),
         cell: 0,
-        standing: sr::Standing::Ready,
+        standing: sr::WorkerState::Ready,
         size: 1.0,
         up_since: None,
     };
--- a/settings/src/settle.rs
+++ b/settings/src/settle.rs
@@ -16,9 +16,16 @@
         let mut zones = Names::of(&env.failure_domains);
         let kinds = Names::of(&env.kinds);
         let classes = env.services.iter().enumerate();
-        let ask_within = env.rules.ask_within.map_or(sr::Settings::default().ask_within, sr::Span);
-        let sr::Settings { told_within, lost_within, saved_within, failed_calls_renew, report_age, .. } =
-            sr::Settings::default();
+        let max_poll_interval =
+            env.rules.ask_within.map_or(sr::Settings::default().max_poll_interval, sr::Span);
+        let sr::Settings {
+            validity_after_silence,
+            validity_after_loss,
+            saved_list_validity,
+            failed_calls_renew_validity,
+            report_age_s,
+            ..
+        } = sr::Settings::default();
         let settings = sr::Settings {
             dispatchers: env.balancers,
             number: env.me,
@@ -33,7 +40,7 @@
                         deadline: sr::Span(service.deadline),
                         worth: service.importance,
                         late_worth: service.late_worth,
-                        effect: effect(&service.repeat, service.group.as_deref())?,
+                        idempotency: effect(&service.repeat, service.group.as_deref())?,
                         window: sr::Span(service.window),
                         kind: u32::try_from(kind).ok().map(sr::KindId),
                     })
@@ -54,37 +61,38 @@
             },
             discovery: match env.membership_mode.as_str() {
                 "pushed" => sr::Discovery::Pushed,
-                "on_request" => sr::Discovery::Asked,
+                "on_request" => sr::Discovery::OnRequest,
                 other => return Err(format!("membershipMode {other:?}")),
             },
             tick: sr::Span(env.tick),
-            tells_start: env.extra.tells_start,
+            reports_start: env.extra.tells_start,
             progress: sr::Span(env.extra.progress),
             cancel: env.limits.cancel,
             probing: env.limits.probing,
-            parallel: env.limits.parallel_tries,
+            parallel_attempts: env.limits.parallel_tries,
             idle_limit: env.limits.conn_idle.map_or(sr::Settings::default().idle_limit, sr::Span),
             max_attempts: env.limits.try_limit,
             budget: budget(&env.rules)?,
             tail: sr::Tail { weight: env.goal.tail_part, tolerated: env.goal.tail_miss },
             worth_by_work: env.worth_by == "work",
-            marks_retries: env.client_habits.marks_retry,
-            sized: matches!(env.weights.as_str(), "nominal" | "rough"),
+            marked_retries: env.client_habits.marks_retry,
+            has_worker_sizes: matches!(env.weights.as_str(), "nominal" | "rough"),
             max_hold_off: sr::Span(if env.limits.retry_after { env.limits.max_retry_after } else { 0 }),
             drain_grace: sr::Span(env.rules.drain_grace),
-            ask_within,
+            max_poll_interval,
             // Figures of the protocol, which no setting carries.
-            told_within,
-            saved_within,
-            failed_calls_renew,
-            report_age,
+            validity_after_silence,
+            saved_list_validity,
+            failed_calls_renew_validity,
+            report_age_s,
             // Without a watch it may be less: the list holds for the time between two calls, less some room.
-            lost_within: lost_within.min(sr::Span(ask_within.0.saturating_sub(200_000_000))),
-            drain_binds_alone: env.rules.drain_binds_alone,
+            validity_after_loss: validity_after_loss
+                .min(sr::Span(max_poll_interval.0.saturating_sub(200_000_000))),
+            only_draining_excludes: env.rules.drain_binds_alone,
             cold_from: env.rules.cold_from,
             warm_after: sr::Span(env.rules.warm_after),
             fall_multiple: env.rules.fall_multiple,
-            fall: sr::Span(env.rules.fall),
+            fall_after: sr::Span(env.rules.fall),
         };
         let fields = env.reporting.fields.iter().map(|name| {
             let meaning = match name.as_str() {
@@ -149,13 +157,13 @@
     })
 }
 
-fn effect(repeat: &str, group: Option<&str>) -> Result<sr::Effect, String> {
+fn effect(repeat: &str, group: Option<&str>) -> Result<sr::Idempotency, String> {
     Ok(match (repeat, group) {
-        ("retryable", _) => sr::Effect::Safe,
-        ("fragile", _) => sr::Effect::Unsafe,
-        ("dedup", Some("zone")) => sr::Effect::Keyed(sr::Group::Zone),
-        ("dedup", Some("cell")) => sr::Effect::Keyed(sr::Group::Cell),
-        ("dedup", Some("all") | None) => sr::Effect::Keyed(sr::Group::All),
+        ("retryable", _) => sr::Idempotency::Safe,
+        ("fragile", _) => sr::Idempotency::Unsafe,
+        ("dedup", Some("zone")) => sr::Idempotency::Keyed(sr::DedupScope::Zone),
+        ("dedup", Some("cell")) => sr::Idempotency::Keyed(sr::DedupScope::Cell),
+        ("dedup", Some("all") | None) => sr::Idempotency::Keyed(sr::DedupScope::All),
         _ => return Err(format!("services repeat {repeat:?}, group {group:?}")),
     })
 }
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -61,7 +61,7 @@
             zone,
             kind: KindId(0),
             cell: 0,
-            standing: Standing::Ready,
+            state: WorkerState::Ready,
             size: 1.0,
             up_since: (n == 1).then_some(now),
         });
@@ -93,7 +93,7 @@
 
     fn ends(&mut self, request: u32, attempt: u32, outcome: Outcome, report: Option<Report>) -> Vec<Action> {
         let (request, closed) = (RequestId(request), outcome == Outcome::Ok);
-        self.tell(Event::Noted(request, attempt, Note::Started));
+        self.tell(Event::AttemptUpdate(request, attempt, AttemptUpdate::Started));
         self.now = self.now + Span(20_000_000);
         self.tell(Event::Ended { request, attempt, outcome, closed, report })
     }
--- a/settings/tests/renew.rs
+++ b/settings/tests/renew.rs
@@ -32,9 +32,9 @@
     let (new, names) = second.settle().unwrap();
     let renewed = renew(&settings, &mut tables, new, &names);
     assert_eq!(renewed.classes, [2, 3]);
-    let effects: Vec<_> = renewed.settings.classes.iter().map(|class| class.effect).collect();
-    let keyed = sr::Effect::Keyed(sr::Group::All);
-    assert_eq!(effects, [sr::Effect::Safe, sr::Effect::Safe, keyed, sr::Effect::Unsafe]);
+    let effects: Vec<_> = renewed.settings.classes.iter().map(|class| class.idempotency).collect();
+    let keyed = sr::Idempotency::Keyed(sr::DedupScope::All);
+    assert_eq!(effects, [sr::Idempotency::Safe, sr::Idempotency::Safe, keyed, sr::Idempotency::Unsafe]);
     assert_eq!((tables.classes.get("bin"), tables.classes.name(1)), (Some(3), "bin"));
     let quotas: Vec<_> = renewed.settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!((quotas, tables.tenants.get("n")), (vec![0.0, 8.0, 7.0], Some(1)));
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,11 +1,10 @@
-//! All decisions of the dispatcher; its types, events and actions stand in `src/interface/`. `price` gives
-//! each worker `C = (QL + 1) * PT + CD`, `draw` picks among the ready ones in proportion to `1 / C`.
+//! The decisions of the dispatcher. Its types, events and actions are in `src/interface/`.
 
 use crate::interface::*;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-mod ledger;
-mod line;
+mod dispatch;
+mod estimates;
 mod list;
 mod outcomes;
 mod price;
@@ -137,18 +136,18 @@
             }
         }
         self.count_turns();
-        let pumps = !matches!(event, Event::Noted(..) | Event::Timer(0..PUMP));
+        let pumps = !matches!(event, Event::AttemptUpdate(..) | Event::Timer(0..PUMP));
         match event {
             Event::List(kind, entries) => self.list(kind, entries),
-            Event::ListFailed | Event::ListSilent | Event::ListMoved => self.lost(&event),
+            Event::ListFailed | Event::ListSilent | Event::DiscoveryMoved => self.lost(&event),
             Event::Arrival(arrival) => self.arrive(arrival),
-            Event::Closed(id) => self.close(id),
-            Event::Extended(id, deadline) => self.watch_deadline(id, deadline),
-            Event::Began(id, attempt) => {
+            Event::RequestClosed(id) => self.close(id),
+            Event::DeadlineExtended(id, deadline) => self.watch_deadline(id, deadline),
+            Event::StreamStarted(id, attempt) => {
                 self.requests.entry(id).and_modify(|request| request.streaming = true);
-                self.noted(id, attempt, Note::Started);
+                self.noted(id, attempt, AttemptUpdate::Started);
             }
-            Event::Noted(id, attempt, note) => self.noted(id, attempt, note),
+            Event::AttemptUpdate(id, attempt, note) => self.noted(id, attempt, note),
             Event::Ended { .. } => self.ended(event),
             Event::Probed(WorkerId(i), ok, report) => {
                 if let Some(w) = self.workers.get_mut(i as usize) {
@@ -156,7 +155,7 @@
                     report.into_iter().for_each(|report| self.reported(i as usize, report));
                 }
             }
-            Event::Retuned(settings) => self.retune(*settings),
+            Event::SettingsChanged(settings) => self.retune(*settings),
             Event::Timer(PUMP) => self.pumping = false,
             Event::Timer(HOUSEKEEPING) => self.housekeeping(),
             Event::Timer(SUBSCRIBE) => {
--- a/src/balance/line.rs
+++ b/src/balance/dispatch.rs
@@ -19,7 +19,7 @@
         // A later try carries the first one's deadline: what is missing is its age, but not over two thirds.
         let window = (deadline - self.now).min(settings.deadline).secs();
         stat.longest = stat.longest.max(window);
-        let retry = if self.settings.marks_retries { arrival.retry } else { window > stat.longest / 3.0 };
+        let retry = if self.settings.marked_retries { arrival.retry } else { window > stat.longest / 3.0 };
         let age = if retry { (stat.longest - window).max(0.0) } else { 0.0 };
         let (mean, scale) = (stat.mean.0, self.scale.0);
         let hint = estimate.secs().min(mean / scale * ODD * ODD);
@@ -33,9 +33,9 @@
         // so does what is paid for when late: given up, it would run for nothing and come again.
         let late = settings.late_worth > 0.0 && self.settings.tail.weight == 0.0;
         let latest = if late { deadline } else { start_by(SLACK_USED) };
-        let withdraw = match settings.effect {
+        let withdraw = match settings.idempotency {
             _ if self.settings.tail.weight > 0.0 => latest,
-            effect if late || effect == Effect::Unsafe => deadline,
+            effect if late || effect == Idempotency::Unsafe => deadline,
             _ => start_by(2.0),
         };
         self.mean_work = self.mean_work.map(|m| m + 0.03 * ((mean * slots).min(m * ODD) - m));
@@ -107,12 +107,11 @@
         }
     }
 
-    /// The one place that sends.
     pub(super) fn send(&mut self, id: RequestId, i: usize) {
         let early = self.turn_at(id) != Some(self.now);
         let request = &self.requests[&id];
         let (number, class) = (request.attempts.len(), request.class);
-        let blocked = early || !self.settings.parallel && request.outstanding();
+        let blocked = early || !self.settings.parallel_attempts && request.outstanding();
         if request.settled || blocked || number >= request.most_attempts || !self.allowed(request, i) {
             return;
         }
@@ -123,10 +122,10 @@
         self.held.remove(&(request.over_share, request.rank, id));
         let w = &mut self.workers[i];
         // A connection that may have been dropped unseen is closed; unsafe work keeps further away.
-        let unsafe_work = self.settings.classes[request.class].effect == Effect::Unsafe;
+        let unsafe_work = self.settings.classes[request.class].idempotency == Idempotency::Unsafe;
         let mut idle = w.idle.pop().map_or(0.0, |since| self.at - since);
         if idle > self.safe_idle / if unsafe_work { 2.0 } else { 1.0 } {
-            self.out.push(Action::Release(WorkerId(i as u32)));
+            self.out.push(Action::CloseIdle(WorkerId(i as u32)));
             w.idle.clear();
             idle = 0.0;
         }
@@ -137,7 +136,7 @@
         let (worker, now) = (i, self.now);
         request.attempts.push(Attempt { worker, sent: now, heard: now, idle, ..Attempt::default() });
         self.out.push(Action::Send(id, WorkerId(i as u32)));
-        if self.settings.tells_start {
+        if self.settings.reports_start {
             let due = self.start_due(i, idle, class);
             self.out.push(Action::Timer(self.now + due, attempt_token(id, number)));
         }
@@ -153,8 +152,10 @@
     /// The one place that settles: refused for an objective if a repeat can do no harm, else failed.
     pub(super) fn settle(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.settled) else { return };
-        let free =
-            matches!(self.settings.classes[request.class].effect, Effect::Safe | Effect::Keyed(Group::All));
+        let free = matches!(
+            self.settings.classes[request.class].idempotency,
+            Idempotency::Safe | Idempotency::Keyed(DedupScope::All)
+        );
         let harmless = free || self.may_have_run(request).is_none();
         let off = self.settings.max_hold_off.min(self.settings.classes[request.class].objective);
         self.out.push(if harmless { Action::Refuse(id, off) } else { Action::Fail(id) });
--- a/src/balance/ledger.rs
+++ b/src/balance/estimates.rs
@@ -70,7 +70,7 @@
             (Some(_), Some(inflight)) => Some(inflight.max(room)),
             (_, inflight) => inflight,
         };
-        let tells = 1.0 - SIGHT.1 * self.settings.report_age.map_or(1.0, |a| a / (a + self.mean_work[0]));
+        let tells = 1.0 - SIGHT.1 * self.settings.report_age_s.map_or(1.0, |a| a / (a + self.mean_work[0]));
         used.into_iter().for_each(|used| self.see_others(i, usual + tells * (used - running - usual)));
         // Errors a second, but for a single one, beside what is in hand: the whole fleet's losses, not own.
         if let (Some(errors), Some(inflight)) = (report.errors_per_s, report.inflight) {
--- a/src/balance/list.rs
+++ b/src/balance/list.rs
@@ -9,14 +9,14 @@
 
 impl Balancer {
     pub(super) fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
-        let (alone, full) = (self.settings.drain_binds_alone, kind != ListKind::Delta);
+        let (alone, full) = (self.settings.only_draining_excludes, kind != ListKind::Delta);
         let missing = |old: &&mut ListEntry| full && !entries.iter().any(|e| e.worker == old.worker);
-        self.entries.iter_mut().filter(missing).for_each(|old| old.standing = Standing::Gone);
+        self.entries.iter_mut().filter(missing).for_each(|old| old.state = WorkerState::Gone);
         for mut entry in entries {
             let i = entry.worker.0 as usize;
             for n in self.workers.len()..=i {
                 let worker = WorkerId(n as u32);
-                self.entries.push(ListEntry { worker, standing: Standing::Gone, ..entry.clone() });
+                self.entries.push(ListEntry { worker, state: WorkerState::Gone, ..entry.clone() });
                 self.workers.push(Worker::default());
             }
             let key = (entry.kind, entry.zone);
@@ -27,11 +27,11 @@
             }
             // Where gone does not bind, a list may be old: a drain once seen holds until a later start.
             let (old, listed) = (&self.entries[i], self.workers[i].listed);
-            let other = entry.up_since != old.up_since || old.standing == Standing::Gone;
+            let other = entry.up_since != old.up_since || old.state == WorkerState::Gone;
             let later = if alone { entry.up_since > old.up_since } else { other };
             entry.up_since = entry.up_since.max(old.up_since.filter(|_| alone && listed));
             let held = alone && !later && self.workers[i].drained;
-            let back = self.workers[i].drained && !held && entry.standing == Standing::Ready;
+            let back = self.workers[i].drained && !held && entry.state == WorkerState::Ready;
             if later || !listed {
                 // A new process: nothing that the old one showed holds. What is out there still counts.
                 let age = entry.up_since.map_or(0.0, |up| (self.now - up).secs());
@@ -41,23 +41,23 @@
                 *w = Worker { load, transfer, group, heard: now, others_at: now, ..Worker::default() };
                 (w.turns.0, w.turns_at) = ((place + 0.618 * i as f64).fract(), now - age);
             }
-            let (w, drains) = (&mut self.workers[i], entry.standing == Standing::Draining);
+            let (w, drains) = (&mut self.workers[i], entry.state == WorkerState::Draining);
             (w.listed, w.drained, w.returned) = (true, held || drains, w.returned || back);
             self.entries[i] = entry;
         }
         let saved = self.blind.filter(|_| kind == ListKind::Saved);
-        (self.list_backoff, self.blind) = (0.0, saved.map(|_| self.now + self.settings.saved_within));
+        (self.list_backoff, self.blind) = (0.0, saved.map(|_| self.now + self.settings.saved_list_validity));
     }
 
     /// Asks again while the list holds, then rarely; no failure prolongs that but by the simulator's rule.
     pub(super) fn lost(&mut self, event: &Event) {
-        let Settings { discovery: how, told_within, lost_within, .. } = self.settings;
-        let within = if *event == Event::ListSilent { told_within } else { lost_within };
+        let Settings { discovery: how, validity_after_silence, validity_after_loss, .. } = self.settings;
+        let within = if *event == Event::ListSilent { validity_after_silence } else { validity_after_loss };
         let (within, late) = if how == Discovery::Agent { (Span(0), 0.5) } else { (within, 2.0) };
-        let held = self.blind.filter(|told| !self.settings.failed_calls_renew || *told <= self.now);
+        let held = self.blind.filter(|told| !self.settings.failed_calls_renew_validity || *told <= self.now);
         let told = held.unwrap_or(self.now + within);
         self.blind = (how != Discovery::Pushed).then_some(told);
-        if how != Discovery::Pushed && *event != Event::ListMoved && !self.subscribing {
+        if how != Discovery::Pushed && *event != Event::DiscoveryMoved && !self.subscribing {
             let (left, back) = ((told - self.now).secs(), self.list_backoff.max(0.2));
             let most = if left > 0.0 { back.max(left / 3.0) } else { back * late };
             let wait = Span::from_secs((back.min(1.0) * self.crowd()).min(most) * self.rng.f64());
@@ -75,7 +75,7 @@
     pub(super) fn housekeeping(&mut self) {
         let psi = STALE * self.crowd();
         for (entry, w) in self.entries.iter().zip(&mut self.workers) {
-            if w.listed && !w.drained && entry.standing == Standing::Ready && self.at - w.reported_at > psi {
+            if w.listed && !w.drained && entry.state == WorkerState::Ready && self.at - w.reported_at > psi {
                 w.reported_at = self.at;
                 self.out.push(Action::Probe(entry.worker));
             }
@@ -86,7 +86,7 @@
     /// Whether the list leaves the worker in use: draining binds always, gone only where the rules say so.
     pub(super) fn usable(&self, i: usize) -> bool {
         let (w, told) = (&self.workers[i], self.blind.unwrap_or(Time(u64::MAX)));
-        let listed = self.entries[i].standing == Standing::Ready || self.settings.drain_binds_alone;
+        let listed = self.entries[i].state == WorkerState::Ready || self.settings.only_draining_excludes;
         self.now < told && w.listed && !w.drained && listed
     }
 }
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 impl Balancer {
-    pub(super) fn noted(&mut self, id: RequestId, number: u32, note: Note) {
+    pub(super) fn noted(&mut self, id: RequestId, number: u32, note: AttemptUpdate) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (class, slots, work, hinted) = (request.class, request.slots, request.work, request.hint > 0.0);
         let attempt = request.attempts.get_mut(number as usize).filter(|a| a.ended.is_none());
         let Some(attempt) = attempt else { return };
         attempt.heard = self.now;
         let (i, idle, delay) = (attempt.worker, attempt.idle, (self.now - attempt.sent).secs());
-        if note == Note::Started && attempt.started.is_none() {
+        if note == AttemptUpdate::Started && attempt.started.is_none() {
             attempt.started = Some(self.now);
             self.lasted(idle, true);
             let due = self.start_due(i, idle, class).secs();
@@ -38,7 +38,9 @@
     }
 
     pub(super) fn ended(&mut self, event: Event) {
-        let Event::Ended { request: id, attempt: number, outcome, closed, report } = event else { return };
+        let Event::Ended { request: id, attempt: number, outcome, closed, report } = event else {
+            return;
+        };
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (class, work, hint) = (request.class, request.work, request.hint);
         let attempt = request.attempts.get_mut(number as usize).filter(|a| a.ended.is_none());
--- a/src/balance/price.rs
+++ b/src/balance/price.rs
@@ -27,14 +27,16 @@
             let slots = self.peers(i).slots.min(self.peers(i).free);
             let rate = slots / self.slowness(i) * self.warmth(i) / self.mean_work[1].max(1e-3) * share;
             let w = &mut self.workers[i];
-            let (turns, kept) = (w.turns.0 + rate * (self.at - w.turns_at), rate * self.settings.fall.secs());
+            let (turns, kept) =
+                (w.turns.0 + rate * (self.at - w.turns_at), rate * self.settings.fall_after.secs());
             (w.turns, w.turns_at) = ((turns - (turns - kept).floor().max(0.0), kept), self.at);
         }
     }
 
     /// Whether a worker would take the request at once, by belief.
     fn ready(&self, request: &Request, i: usize, queue: f64, time: f64) -> bool {
-        let (safe, w) = (self.settings.classes[request.class].effect == Effect::Safe, &self.workers[i]);
+        let (safe, w) =
+            (self.settings.classes[request.class].idempotency == Idempotency::Safe, &self.workers[i]);
         // Work beyond a share leaves a slot free for what may come within one.
         let (left, kept) = (1.0 - request.yields * self.turned_away, u8::from(request.over_share));
         let tried = w.trial.is_none_or(|trial| safe && self.at >= trial && w.load.waiting == 0);
--- a/src/balance/retries.rs
+++ b/src/balance/retries.rs
@@ -31,9 +31,9 @@
     }
 
     /// Where the request may have run first, at an earlier try or at this one.
-    pub(super) fn may_have_run(&self, request: &Request) -> Option<Prior> {
+    pub(super) fn may_have_run(&self, request: &Request) -> Option<PriorAttempt> {
         let ran = request.attempts.iter().find(|a| a.ended.is_none_or(|o| !o.never_ran()));
-        request.prior.or_else(|| ran.map(|a| self.entries[a.worker].prior(a.sent)))
+        request.prior.or_else(|| ran.map(|a| self.entries[a.worker].prior_attempt(a.sent)))
     }
 
     /// Whether the rules and the request's effect allow this worker at all.
@@ -45,12 +45,12 @@
             return false;
         }
         let Some(first) = self.may_have_run(request) else { return true };
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed(group) => {
-                let until = first.sent + class.window - Span(self.settings.tick.0 * 2);
-                first.shares(group, entry) && self.now < until
+        match class.idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Unsafe => false,
+            Idempotency::Keyed(group) => {
+                let until = first.sent_at + class.window - Span(self.settings.tick.0 * 2);
+                first.deduplicated_by(group, entry) && self.now < until
             }
         }
     }
@@ -59,7 +59,7 @@
     pub(super) fn again(&mut self, id: RequestId) {
         let request = &self.requests[&id];
         let left = request.attempts.len() < request.most_attempts;
-        let bound = self.settings.classes[request.class].effect == Effect::Unsafe;
+        let bound = self.settings.classes[request.class].idempotency == Idempotency::Unsafe;
         if left && self.now < request.latest && !(bound && self.may_have_run(request).is_some()) {
             self.held.insert((request.over_share, request.rank, id));
         } else {
@@ -77,7 +77,6 @@
         }
     }
 
-    /// Looks after an attempt whose start or progress note is due.
     fn look_after(&mut self, id: RequestId, number: usize) {
         let request = &self.requests[&id];
         let (class, token) = (request.class, attempt_token(id, number));
@@ -113,7 +112,7 @@
             && number + 1 < self.requests[&id].most_attempts
         {
             // Waiting work is moved; running work gets a second copy, since it may yet answer.
-            if self.settings.cancel && (!started || !self.settings.parallel) {
+            if self.settings.cancel && (!started || !self.settings.parallel_attempts) {
                 self.requests.get_mut(&id).expect("looked up above").attempts[number].cancelled = true;
                 self.out.push(Action::Cancel(id, number as u32));
             }
@@ -159,7 +158,7 @@
             (attempt.overdue, attempt.lost) = (true, lost);
         }
         if newest
-            && self.settings.parallel
+            && self.settings.parallel_attempts
             && number + 1 < self.requests[&id].most_attempts
             && self.turn() == Some(self.now)
             && let Some(other) = self.draw(id, Some(i))
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -2,7 +2,6 @@
 
 use super::*;
 
-/// What this dispatcher has out at a worker.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Load {
     /// Slots of attempts outstanding, of those running, and the number not yet known to run.
@@ -14,7 +13,6 @@
     pub(super) rate_start: f64,
 }
 
-/// What is known of a worker.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) load: Load,
@@ -100,7 +98,7 @@
     pub(super) withdraw: Time,
     pub(super) over_share: bool,
     /// Where an earlier try of it may have run.
-    pub(super) prior: Option<Prior>,
+    pub(super) prior: Option<PriorAttempt>,
     /// Share of the room that it leaves to dearer work when workers are full.
     pub(super) yields: f64,
     /// Place in the line: work for each unit of worth.
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -5,7 +5,7 @@
 
 /// What the list says of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerState {
     /// It takes work.
     Ready,
     /// It finishes what it has and takes nothing new.
@@ -26,7 +26,7 @@
     /// Its cell: workers that share knowledge of keys seen.
     pub cell: u32,
     /// What the list says of it.
-    pub standing: Standing,
+    pub state: WorkerState,
     /// Its size beside other workers' sizes, where [`Settings::sized`].
     pub size: f64,
     /// When its process last started; `None` if long past.
@@ -35,8 +35,8 @@
 
 impl ListEntry {
     /// A try sent there, as a repeat of it is bound.
-    pub fn prior(&self, sent: Time) -> Prior {
-        Prior { zone: self.zone, cell: self.cell, sent }
+    pub fn prior_attempt(&self, sent_at: Time) -> PriorAttempt {
+        PriorAttempt { zone: self.zone, cell: self.cell, sent_at }
     }
 }
 
@@ -96,7 +96,7 @@
 
 /// What a note tells of an attempt that is still outstanding.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum AttemptUpdate {
     /// The job has started.
     Started,
     /// This share of it is done.
@@ -123,27 +123,27 @@
     /// The client marks it as a later try.
     pub retry: bool,
     /// An earlier try of it may have run, and where: a repeat is bound to that as to an own attempt.
-    pub prior: Option<Prior>,
+    pub prior: Option<PriorAttempt>,
 }
 
 /// Where and when a try that may have run was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prior {
+pub struct PriorAttempt {
     /// The zone.
     pub zone: ZoneId,
     /// The cell.
     pub cell: u32,
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
-impl Prior {
+impl PriorAttempt {
     /// Whether a worker drops repeats of what was sent there, where the group remembers them.
-    pub fn shares(&self, group: Group, entry: &ListEntry) -> bool {
+    pub fn deduplicated_by(&self, group: DedupScope, entry: &ListEntry) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone == entry.zone,
-            Group::Cell => self.zone == entry.zone && self.cell == entry.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => self.zone == entry.zone,
+            DedupScope::Cell => self.zone == entry.zone && self.cell == entry.cell,
         }
     }
 }
@@ -158,17 +158,17 @@
     /// The subscription has fallen silent: it stands, but news may be missed from its last sign of life on.
     ListSilent,
     /// The list is asked for elsewhere from now on, and the call for it is made.
-    ListMoved,
+    DiscoveryMoved,
     /// A request has arrived.
     Arrival(Arrival),
     /// The request is closed: its client has left.
-    Closed(RequestId),
+    RequestClosed(RequestId),
     /// Another client waits for the request too, up to this deadline.
-    Extended(RequestId, Time),
+    DeadlineExtended(RequestId, Time),
     /// The streamed answer of this attempt has begun; the attempt is the client's now.
-    Began(RequestId, u32),
+    StreamStarted(RequestId, u32),
     /// News of an outstanding attempt.
-    Noted(RequestId, u32, Note),
+    AttemptUpdate(RequestId, u32, AttemptUpdate),
     /// An attempt has ended.
     Ended {
         /// The request.
@@ -186,7 +186,7 @@
     Probed(WorkerId, bool, Option<Report>),
     /// New settings hold from now on. Classes and tenants keep their numbers, and classes left off the end
     /// stay as they were. What is under way makes no more attempts than both settings allow.
-    Retuned(Box<Settings>),
+    SettingsChanged(Box<Settings>),
     /// A timer set by [`Action::Timer`] is due.
     Timer(u64),
 }
@@ -211,5 +211,5 @@
     /// Ask a worker for its load.
     Probe(WorkerId),
     /// Close the idle connections to a worker, so that the next attempt opens a new one.
-    Release(WorkerId),
+    CloseIdle(WorkerId),
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -5,18 +5,18 @@
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// It may be repeated freely.
     Safe,
     /// Repeats are dropped by the workers of one group for as long as the class's window.
-    Keyed(Group),
+    Keyed(DedupScope),
     /// It must never run twice.
     Unsafe,
 }
 
 /// The workers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All workers.
     All,
     /// Those of one zone.
@@ -39,7 +39,7 @@
     /// Share of the worth that an answer between aim and deadline still has.
     pub late_worth: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Keyed classes: how long repeats are dropped.
     pub window: Span,
     /// The one machine kind that runs this class, if it is bound to one.
@@ -59,7 +59,7 @@
     /// Changes arrive unasked.
     Pushed,
     /// They arrive only after [`Action::Subscribe`] or [`Action::Fetch`].
-    Asked,
+    OnRequest,
     /// The same, from an agent of this machine's own: what it holds counts as told, watched or not.
     Agent,
 }
@@ -121,7 +121,7 @@
     /// Least time between two batches of events.
     pub tick: Span,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Time between a running job's progress notes; zero if there are none.
     pub progress: Span,
     /// Attempts may be withdrawn.
@@ -129,7 +129,7 @@
     /// Workers may be probed.
     pub probing: bool,
     /// Two attempts of a request may be outstanding together.
-    pub parallel: bool,
+    pub parallel_attempts: bool,
     /// A connection that has been idle for this long is closed.
     pub idle_limit: Span,
     /// Most attempts for a request.
@@ -141,31 +141,31 @@
     /// Worth counts for each unit of work, not for each request.
     pub worth_by_work: bool,
     /// Clients mark their later tries.
-    pub marks_retries: bool,
+    pub marked_retries: bool,
     /// The list's sizes are those of the workers, at least roughly.
-    pub sized: bool,
+    pub has_worker_sizes: bool,
     /// Clients hear how long to stay away, up to this; zero if they do not.
     pub max_hold_off: Span,
     /// How long after word of a drain sends to the worker must have ceased.
     pub drain_grace: Span,
     /// Longest time between two calls for the list while there is no watch.
-    pub ask_within: Span,
+    pub max_poll_interval: Span,
     /// From [`Event::ListSilent`] on, the time after which what the watch can't tell counts as told: 6 s
     /// after its last sign of life by the protocol, less the 2.5 s after which it counts as silent and some room.
-    pub told_within: Span,
+    pub validity_after_silence: Span,
     /// The same from any other loss of the watch on: it is noticed at once.
-    pub lost_within: Span,
+    pub validity_after_loss: Span,
     /// How long from the start a saved list may be used where lists are asked for. The sockets' protocol does not
     /// tell how old it is, so that it may have missed any change: none there. The simulator's rules allow more.
-    pub saved_within: Span,
+    pub saved_list_validity: Span,
     /// How old a report of any worker is at the most, in seconds, while all of them keep coming; none where they come
     /// by chance.
-    pub report_age: Option<f64>,
-    /// Each failed call begins `lost_within` anew while the list still holds: the simulator's rule. On sockets a change
+    pub report_age_s: Option<f64>,
+    /// Each failed call begins `validity_after_loss` anew while the list still holds: the simulator's rule. On sockets a change
     /// counts as told 6 s after it could be had, whatever has failed since: never there.
-    pub failed_calls_renew: bool,
+    pub failed_calls_renew_validity: bool,
     /// Only an entry that says draining binds; one that is gone or left out may still be sent to.
-    pub drain_binds_alone: bool,
+    pub only_draining_excludes: bool,
     /// A worker starts at this share of its capacity or above.
     pub cold_from: f64,
     /// It is warm after this at the latest.
@@ -173,7 +173,7 @@
     /// More than this multiple of its present capacity ...
     pub fall_multiple: f64,
     /// ... for this long pushes a cold worker over.
-    pub fall: Span,
+    pub fall_after: Span,
 }
 
 impl Default for Settings {
@@ -189,31 +189,31 @@
             prices: Prices::default(),
             discovery: Discovery::Pushed,
             tick: Span(1_000_000),
-            tells_start: false,
+            reports_start: false,
             progress: Span(0),
             cancel: true,
             probing: false,
-            parallel: false,
+            parallel_attempts: false,
             idle_limit: Span::from_secs(60.0),
             max_attempts: 3,
             budget: None,
             tail: Tail::default(),
             worth_by_work: false,
-            marks_retries: false,
-            sized: false,
+            marked_retries: false,
+            has_worker_sizes: false,
             max_hold_off: Span(0),
             drain_grace: Span::from_secs(1.0),
-            ask_within: Span::from_secs(10.0),
-            told_within: Span::from_secs(3.3),
-            lost_within: Span::from_secs(5.8),
-            saved_within: Span(0),
-            report_age: None,
-            failed_calls_renew: false,
-            drain_binds_alone: false,
+            max_poll_interval: Span::from_secs(10.0),
+            validity_after_silence: Span::from_secs(3.3),
+            validity_after_loss: Span::from_secs(5.8),
+            saved_list_validity: Span(0),
+            report_age_s: None,
+            failed_calls_renew_validity: false,
+            only_draining_excludes: false,
             cold_from: 0.1,
             warm_after: Span::from_secs(30.0),
             fall_multiple: 2.0,
-            fall: Span::from_secs(1.0),
+            fall_after: Span::from_secs(1.0),
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 //!     deadline: Span::from_secs(5.0),
 //!     worth: 1.0,
 //!     late_worth: 0.0,
-//!     effect: Effect::Safe,
+//!     idempotency: Idempotency::Safe,
 //!     window: Span(0),
 //!     kind: None,
 //! };
@@ -31,7 +31,7 @@
 //!     zone: ZoneId(0),
 //!     kind: KindId(0),
 //!     cell: 0,
-//!     standing: Standing::Ready,
+//!     state: WorkerState::Ready,
 //!     size: 1.0,
 //!     up_since: None,
 //! };
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -13,7 +13,7 @@
     let (all, run) = (40, ms(100));
     let mut worlds: Vec<_> = (0..all)
         .map(|number| {
-            let settings = Settings { dispatchers: all, number, fall: ms(2000), ..settings() };
+            let settings = Settings { dispatchers: all, number, fall_after: ms(2000), ..settings() };
             let mut world = World::new(settings, u64::from(number));
             world.list(ListKind::Saved, vec![worker(1)]);
             world.list(ListKind::Full, vec![]);
@@ -51,8 +51,8 @@
     };
     let jobs = |t: Time| warmth(t) * 4.0 / run.secs() * settings.fall_multiple;
     for (n, &first) in sends.iter().enumerate() {
-        let within = sends[n..].iter().take_while(|t| **t <= first + settings.fall).count();
-        most = most.max(within as f64 / (jobs(first) * settings.fall.secs()));
+        let within = sends[n..].iter().take_while(|t| **t <= first + settings.fall_after).count();
+        most = most.max(within as f64 / (jobs(first) * settings.fall_after.secs()));
     }
     assert!(most < 1.0, "{most} of the budget of a window");
     let budget: f64 = (0..300).map(|n| jobs(START + ms(n * 50)) * 0.05).sum();
--- a/tests/common/cold.rs
+++ b/tests/common/cold.rs
@@ -41,7 +41,7 @@
     }
 
     fn settings(&self, dispatchers: u32) -> Settings {
-        let classes = self.jobs.map(|(_, work)| (Span::from_secs(work.max(0.2)), class(Effect::Safe)));
+        let classes = self.jobs.map(|(_, work)| (Span::from_secs(work.max(0.2)), class(Idempotency::Safe)));
         Settings {
             dispatchers,
             classes: classes.map(|(objective, class)| Class { objective, ..class }).to_vec(),
@@ -49,7 +49,7 @@
             cold_from: self.cold_from,
             warm_after: ms(self.warm_after),
             fall_multiple: self.multiple,
-            fall: ms(self.fall),
+            fall_after: ms(self.fall),
             ..settings()
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,14 +25,14 @@
 }
 
 /// A class with an objective of 200 ms and a deadline of 5 s.
-pub fn class(effect: Effect) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         objective: ms(200),
         stretch: 2.0,
         deadline: ms(5000),
         worth: 1.0,
         late_worth: 0.0,
-        effect,
+        idempotency,
         window: ms(2000),
         kind: None,
     }
@@ -43,13 +43,18 @@
     Settings {
         dispatchers: 2,
         zone: Some(ZoneId(0)),
-        classes: [Effect::Safe, Effect::Unsafe, Effect::Keyed(Group::Cell), Effect::Keyed(Group::All)]
-            .map(class)
-            .to_vec(),
+        classes: [
+            Idempotency::Safe,
+            Idempotency::Unsafe,
+            Idempotency::Keyed(DedupScope::Cell),
+            Idempotency::Keyed(DedupScope::All),
+        ]
+        .map(class)
+        .to_vec(),
         tick: ms(5),
-        tells_start: true,
+        reports_start: true,
         progress: ms(1000),
-        parallel: true,
+        parallel_attempts: true,
         max_attempts: 4,
         ..Settings::default()
     }
@@ -62,7 +67,7 @@
         zone: ZoneId(n % 2),
         kind: KindId(0),
         cell: n % 2,
-        standing: Standing::Ready,
+        state: WorkerState::Ready,
         size: 1.0,
         up_since: None,
     }
--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -73,7 +73,7 @@
 
     /// The start note of an attempt.
     pub fn start(&mut self, id: u32, attempt: u32) {
-        self.event(Event::Noted(RequestId(id), attempt, Note::Started));
+        self.event(Event::AttemptUpdate(RequestId(id), attempt, AttemptUpdate::Started));
     }
 
     /// Request and number of each attempt that is outstanding.
--- a/tests/common/workers.rs
+++ b/tests/common/workers.rs
@@ -101,7 +101,7 @@
     /// All dispatchers hear at once that a worker drains.
     pub fn drain(&mut self, n: u32) {
         for world in &mut self.worlds {
-            let entry = ListEntry { standing: Standing::Draining, ..worker(n) };
+            let entry = ListEntry { state: WorkerState::Draining, ..worker(n) };
             world.list(ListKind::Delta, vec![entry]);
         }
     }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -63,8 +63,8 @@
     pub fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
         if kind != ListKind::Delta {
             for (entry, told) in self.list.values_mut() {
-                if !entries.iter().any(|e| e.worker == entry.worker) && entry.standing == Standing::Ready {
-                    (entry.standing, *told) = (Standing::Gone, self.now);
+                if !entries.iter().any(|e| e.worker == entry.worker) && entry.state == WorkerState::Ready {
+                    (entry.state, *told) = (WorkerState::Gone, self.now);
                 }
             }
         }
@@ -73,11 +73,11 @@
             if entry.up_since > *up {
                 (*drained, *up) = (None, entry.up_since);
             }
-            if entry.standing == Standing::Draining {
+            if entry.state == WorkerState::Draining {
                 drained.get_or_insert(self.now);
             }
             let told = match self.list.get(&entry.worker) {
-                Some((old, told)) if old.standing == entry.standing => *told,
+                Some((old, told)) if old.state == entry.state => *told,
                 _ => self.now,
             };
             self.list.insert(entry.worker, (entry.clone(), told));
@@ -123,10 +123,10 @@
             Action::Send(id, worker) => self.sent(id, worker),
             Action::Refuse(id, _) | Action::Fail(id) => {
                 let known = self.requests.get_mut(&id).expect("a known request");
-                let effect = self.settings.classes[known.class.0 as usize].effect;
+                let effect = self.settings.classes[known.class.0 as usize].idempotency;
                 let may = known.may_have_run().is_some();
                 let refused = matches!(action, Action::Refuse(..));
-                let harmless = matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
+                let harmless = matches!(effect, Idempotency::Safe | Idempotency::Keyed(DedupScope::All));
                 if refused && may && !harmless {
                     self.broken.push(format!("{id:?} refused though it may have run"));
                 }
@@ -142,7 +142,7 @@
                 let known = &self.requests[&id];
                 assert!((attempt as usize) < known.attempts.len(), "an attempt never made");
             }
-            Action::Subscribe | Action::Fetch | Action::Probe(_) | Action::Release(_) => {}
+            Action::Subscribe | Action::Fetch | Action::Probe(_) | Action::CloseIdle(_) => {}
         }
     }
 
@@ -155,18 +155,18 @@
         let class = &self.settings.classes[known.class.0 as usize];
         if let Some(first) = known.may_have_run() {
             let cell = |w: WorkerId| self.list[&w].0.cell;
-            let twice = match class.effect {
-                Effect::Safe => false,
-                Effect::Unsafe => true,
-                Effect::Keyed(group) => {
-                    let same = group == Group::All || cell(first.0) == cell(worker);
+            let twice = match class.idempotency {
+                Idempotency::Safe => false,
+                Idempotency::Unsafe => true,
+                Idempotency::Keyed(group) => {
+                    let same = group == DedupScope::All || cell(first.0) == cell(worker);
                     !same || now >= first.1 + class.window
                 }
             };
             if twice {
                 self.broken.push(format!("{id:?} may take effect twice"));
             }
-            if !self.settings.parallel && known.attempts.iter().any(|a| a.2.is_none()) {
+            if !self.settings.parallel_attempts && known.attempts.iter().any(|a| a.2.is_none()) {
                 self.broken.push(format!("{id:?} has two attempts outstanding"));
             }
         }
@@ -181,9 +181,9 @@
         }
         known.attempts.push((worker, now, None));
         let (entry, told) = &self.list[&worker];
-        let told = match self.settings.drain_binds_alone {
+        let told = match self.settings.only_draining_excludes {
             true => self.drains[&worker].0,
-            false => Some(*told).filter(|_| entry.standing != Standing::Ready),
+            false => Some(*told).filter(|_| entry.state != WorkerState::Ready),
         };
         if told.is_some_and(|told| now > told + self.settings.drain_grace) {
             self.broken.push(format!("{worker:?} got work after its drain"));
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -12,7 +12,7 @@
 fn a_connection_that_broke_after_a_rest_is_renewed_before_the_next() {
     let mut world = World::new(Settings { idle_limit: ms(15000), ..settings() }, 16);
     world.list(ListKind::Saved, vec![worker(0)]);
-    let releases = |w: &World| w.log.iter().filter(|(_, a)| *a == Action::Release(WorkerId(0))).count();
+    let releases = |w: &World| w.log.iter().filter(|(_, a)| *a == Action::CloseIdle(WorkerId(0))).count();
     world.arrive(0, 0);
     serve(&mut world, ms(50));
     world.pass(ms(3000));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,8 @@
 /// How many of `fleet` dispatchers that start or lose their watches together have one after `run`, and the calls
 /// made. Discovery handles calls in turn, `pace` each; one that has waited 2 s fails, but still takes its turn.
 fn listed_after(fleet: u32, pace: Span, run: Span, loss: Option<&Event>) -> (usize, usize) {
-    let settings = Settings { discovery: Discovery::Asked, dispatchers: fleet, probing: false, ..settings() };
+    let settings =
+        Settings { discovery: Discovery::OnRequest, dispatchers: fleet, probing: false, ..settings() };
     let mut worlds: Vec<World> = (0..fleet)
         .map(|number| World::new(Settings { number, ..settings.clone() }, 77 + u64::from(number)))
         .collect();
@@ -72,7 +73,11 @@
 fn a_fleet_that_loses_its_watches_together_is_back_while_the_list_holds() {
     for loss in [Event::ListFailed, Event::ListSilent] {
         let settings = settings();
-        let holds = if loss == Event::ListSilent { settings.told_within } else { settings.lost_within };
+        let holds = if loss == Event::ListSilent {
+            settings.validity_after_silence
+        } else {
+            settings.validity_after_loss
+        };
         let (listed, calls) = listed_after(300, ms(8), holds, Some(&loss));
         assert_eq!((listed, calls), (300, 300), "after {loss:?}");
     }
--- a/tests/grid.rs
+++ b/tests/grid.rs
@@ -64,7 +64,7 @@
     let within = quotas[0] + rates[1..].iter().sum::<f64>();
     let all = WITHIN * CAPACITY / MEAN / within;
     let tenants = quotas.map(|quota| Tenant { quota_per_s: quota * all }).to_vec();
-    let classes = vec![Class { deadline: ms(2000), ..class(Effect::Safe) }];
+    let classes = vec![Class { deadline: ms(2000), ..class(Idempotency::Safe) }];
     let dispatchers = cell.dispatchers as u32;
     let settings =
         Settings { dispatchers, tenants, classes, progress: Span(0), drain_grace: Span(0), ..settings() };
--- a/tests/one_clock.rs
+++ b/tests/one_clock.rs
@@ -61,7 +61,7 @@
 /// when the list was back.
 fn play(fleet: u32, seed: u64, loss: Option<Event>, plan: &[Call]) -> (Vec<(Time, Time)>, Time) {
     let number = seed as u32 % fleet;
-    let settings = Settings { discovery: Discovery::Asked, dispatchers: fleet, number, ..settings() };
+    let settings = Settings { discovery: Discovery::OnRequest, dispatchers: fleet, number, ..settings() };
     let mut world = World::new(settings, seed);
     if loss.is_some() {
         world.list(ListKind::Full, vec![worker(0)]);
@@ -157,7 +157,7 @@
 fn a_list_from_before_the_start_sends_nothing() {
     for (fleet, seed) in [(1, 1), (300, 2)] {
         for news in [None, Some(Event::ListFailed), Some(Event::ListSilent)] {
-            let settings = Settings { discovery: Discovery::Asked, dispatchers: fleet, ..settings() };
+            let settings = Settings { discovery: Discovery::OnRequest, dispatchers: fleet, ..settings() };
             let mut world = World::new(settings, seed);
             world.list(ListKind::Saved, vec![worker(0)]);
             for n in 0..90 {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -127,7 +127,7 @@
 /// While workers turn work away as full, work of little worth leaves them room; without that it uses it.
 #[test]
 fn work_of_little_worth_leaves_room_while_workers_are_full() {
-    let mut classes = vec![class(Effect::Safe), class(Effect::Safe)];
+    let mut classes = vec![class(Idempotency::Safe), class(Idempotency::Safe)];
     classes[0].worth = 12.0;
     let held = |full: bool| {
         let classes = classes.clone();
@@ -154,7 +154,7 @@
 /// A marked retry carries its first try's deadline: late ones are refused, an unmarked short one is served.
 #[test]
 fn a_marked_retry_is_as_old_as_its_deadline_tells() {
-    let mut world = World::new(Settings { zone: None, marks_retries: true, ..settings() }, 29);
+    let mut world = World::new(Settings { zone: None, marked_retries: true, ..settings() }, 29);
     world.list(ListKind::Saved, vec![worker(0)]);
     world.arrive(0, 0);
     serve(&mut world, ms(50));
@@ -186,8 +186,8 @@
 #[test]
 fn what_pays_when_late_is_not_given_up() {
     for (late_worth, served) in [(0.5, true), (0.0, false)] {
-        let classes = vec![Class { late_worth, ..class(Effect::Safe) }];
-        let settings = Settings { zone: None, classes, marks_retries: true, max_attempts: 1, ..settings() };
+        let classes = vec![Class { late_worth, ..class(Idempotency::Safe) }];
+        let settings = Settings { zone: None, classes, marked_retries: true, max_attempts: 1, ..settings() };
         let mut world = World::new(settings, 33);
         world.list(ListKind::Saved, vec![worker(0)]);
         world.arrive(0, 0);
@@ -211,7 +211,7 @@
 /// for which a request is held, here twelve times that mean beside the objective.
 #[test]
 fn long_jobs_do_not_wear_their_class_mean_down() {
-    let long = Class { objective: ms(500), stretch: 41.0, deadline: ms(60_000), ..class(Effect::Safe) };
+    let long = Class { objective: ms(500), stretch: 41.0, deadline: ms(60_000), ..class(Idempotency::Safe) };
     let mut world = World::new(Settings { zone: None, classes: vec![long], ..settings() }, 34);
     world.list(ListKind::Saved, (0..40).map(worker).collect());
     for n in 0..400 {
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -134,7 +134,7 @@
         let mut settings = Settings { max_attempts, ..world.settings.clone() };
         settings.classes.resize(classes, settings.classes[0].clone());
         world.settings = settings.clone();
-        world.event(Event::Retuned(Box::new(settings)));
+        world.event(Event::SettingsChanged(Box::new(settings)));
     };
     let attempts = |world: &World, n| world.requests[&RequestId(n)].attempts.len();
     world.arrive(0, 0);
@@ -151,7 +151,7 @@
     assert_eq!(attempts(&world, 1), 3, "the added class has its worker, and four attempts");
     // Settings that leave classes off the end leave those as they were.
     let fewer = Settings { classes: world.settings.classes[..1].to_vec(), ..world.settings.clone() };
-    world.event(Event::Retuned(Box::new(fewer)));
+    world.event(Event::SettingsChanged(Box::new(fewer)));
     world.arrive(2, 4);
     assert_eq!(attempts(&world, 2), 1);
     world.pass(ms(8000));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
     Start(usize),
     Progress(usize, f64),
     End(usize, Outcome),
-    List(u32, Standing, bool),
+    List(u32, WorkerState, bool),
     FullList(u32),
     Leave(usize),
     Nonsense(u32),
@@ -41,7 +41,7 @@
         3 => any::<usize>().prop_map(Step::Start),
         1 => (any::<usize>(), 0.0..1.0).prop_map(|(n, level)| Step::Progress(n, level)),
         4 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
-        1 => (0..6u32, prop::sample::select(vec![Standing::Ready, Standing::Draining, Standing::Gone]),
+        1 => (0..6u32, prop::sample::select(vec![WorkerState::Ready, WorkerState::Draining, WorkerState::Gone]),
             any::<bool>()).prop_map(|(n, s, fresh)| Step::List(n, s, fresh)),
         1 => (0..6u32).prop_map(Step::FullList),
         1 => any::<usize>().prop_map(Step::Leave),
@@ -51,12 +51,12 @@
 
 /// Settings that a sequence is played with: with `rationed`, further attempts have a budget, only draining
 /// binds, retries are marked and misses are weighed.
-fn drawn(parallel: bool, rationed: Option<(f64, f64)>) -> Settings {
-    let mut settings = Settings { parallel, ..settings() };
+fn drawn(parallel_attempts: bool, rationed: Option<(f64, f64)>) -> Settings {
+    let mut settings = Settings { parallel_attempts, ..settings() };
     if let Some((floor, ratio)) = rationed {
         settings.budget = Some(Budget { floor, ratio, window: ms(5000) });
-        settings.drain_binds_alone = true;
-        settings.marks_retries = true;
+        settings.only_draining_excludes = true;
+        settings.marked_retries = true;
         settings.tail = Tail { weight: 0.3, tolerated: 0.02 };
     }
     settings
@@ -83,7 +83,7 @@
             }
             Step::Progress(n, level) => {
                 if let Some((id, attempt)) = chosen(n) {
-                    world.event(Event::Noted(RequestId(id), attempt, Note::Progress(level)));
+                    world.event(Event::AttemptUpdate(RequestId(id), attempt, AttemptUpdate::Progress(level)));
                 }
             }
             Step::End(n, outcome) => {
@@ -91,9 +91,9 @@
                     world.end(id, attempt, outcome);
                 }
             }
-            Step::List(n, standing, fresh) => {
+            Step::List(n, state, fresh) => {
                 let up_since = fresh.then_some(world.now);
-                world.list(ListKind::Delta, vec![ListEntry { standing, up_since, ..worker(n) }]);
+                world.list(ListKind::Delta, vec![ListEntry { state, up_since, ..worker(n) }]);
             }
             Step::FullList(left_out) => {
                 world.list(ListKind::Full, (0..6).filter(|n| *n != left_out).map(worker).collect());
@@ -104,7 +104,7 @@
                 if !open.is_empty() {
                     let id = open[n % open.len()];
                     world.requests.get_mut(&id).expect("open").settled = true;
-                    world.event(Event::Closed(id));
+                    world.event(Event::RequestClosed(id));
                 }
             }
             Step::Nonsense(n) => nonsense(&mut world, n),
@@ -119,10 +119,10 @@
     let request = RequestId(1_000_000 + n % 1000);
     let ended = Event::Ended { request, attempt: n, outcome: Outcome::Ok, closed: true, report: None };
     for event in [
-        Event::Closed(request),
-        Event::Began(request, n),
-        Event::Noted(request, n, Note::Started),
-        Event::Noted(RequestId(0), 200, Note::Progress(f64::NAN)),
+        Event::RequestClosed(request),
+        Event::StreamStarted(request, n),
+        Event::AttemptUpdate(request, n, AttemptUpdate::Started),
+        Event::AttemptUpdate(RequestId(0), 200, AttemptUpdate::Progress(f64::NAN)),
         ended,
         Event::Probed(WorkerId(900 + n % 10), true, Some(Report::default())),
         Event::Timer(u64::from(n)),
@@ -186,21 +186,21 @@
     );
     assert!(
         broken(0, &|w| {
-            w.list(ListKind::Delta, vec![ListEntry { standing: Standing::Draining, ..worker(0) }]);
+            w.list(ListKind::Delta, vec![ListEntry { state: WorkerState::Draining, ..worker(0) }]);
             w.now = w.now + ms(1100);
             send(w, 0);
         })
         .contains("after its drain")
     );
     let budget = Some(Budget { floor: 1.0, ratio: 0.5, window: ms(5000) });
-    let mut world = World::new(Settings { budget, drain_binds_alone: true, ..settings() }, 1);
+    let mut world = World::new(Settings { budget, only_draining_excludes: true, ..settings() }, 1);
     world.list(ListKind::Saved, vec![worker(0), worker(1)]);
     world.arrive(1, 0);
     send(&mut world, 0);
     assert!(world.broken.is_empty(), "{:?}", world.broken);
     send(&mut world, 1);
     assert!(world.broken.join("; ").contains("beyond the budget"));
-    world.list(ListKind::Delta, vec![ListEntry { standing: Standing::Draining, ..worker(0) }]);
+    world.list(ListKind::Delta, vec![ListEntry { state: WorkerState::Draining, ..worker(0) }]);
     world.list(ListKind::Full, vec![worker(0), worker(1)]);
     world.now = world.now + ms(1100);
     send(&mut world, 0);
@@ -211,7 +211,7 @@
 /// is multiple x capacity x window; work is counted in jobs of one mean length on a warm slot.
 #[test]
 fn a_cold_worker_is_not_pushed_over() {
-    let mut world = World::new(Settings { cold_from: 0.12, fall: ms(2000), ..settings() }, 3);
+    let mut world = World::new(Settings { cold_from: 0.12, fall_after: ms(2000), ..settings() }, 3);
     let fresh = ListEntry { up_since: Some(START), ..worker(0) };
     world.list(ListKind::Saved, vec![fresh]);
     // Four slots, jobs of 50 ms, five slots' worth of arrivals.
@@ -234,7 +234,7 @@
     assert!(world.broken.is_empty(), "{:?}", world.broken);
     let sends = &world.cold_sends[&WorkerId(0)];
     assert!(sends.len() > 10, "a cold worker must get some work to grow warm on");
-    let (multiple, window) = (world.settings.fall_multiple, world.settings.fall);
+    let (multiple, window) = (world.settings.fall_multiple, world.settings.fall_after);
     for (n, &first) in sends.iter().enumerate() {
         let age = (first - START).secs();
         let warmth = 0.12 + 0.88 * age / world.settings.warm_after.secs();
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -10,8 +10,9 @@
 /// let a saved one be used, as the simulator's do.
 #[test]
 fn a_failed_list_call_is_made_again_and_the_old_list_kept() {
-    let saved_within = Span::from_secs(5.8);
-    let mut world = World::new(Settings { discovery: Discovery::Asked, saved_within, ..settings() }, 10);
+    let saved_list_validity = Span::from_secs(5.8);
+    let mut world =
+        World::new(Settings { discovery: Discovery::OnRequest, saved_list_validity, ..settings() }, 10);
     world.list(ListKind::Saved, vec![worker(0)]);
     world.pass(ms(500));
     let calls = |w: &World| w.log.iter().filter(|(_, a)| *a == Action::Subscribe).count();
@@ -28,9 +29,15 @@
 #[test]
 fn failed_calls_prolong_a_lost_list_by_the_simulators_rule_alone() {
     for (failed_calls_renew, seed) in [(true, 11), (false, 12)] {
-        let mut world =
-            World::new(Settings { discovery: Discovery::Asked, failed_calls_renew, ..settings() }, seed);
-        let holds = world.settings.lost_within;
+        let mut world = World::new(
+            Settings {
+                discovery: Discovery::OnRequest,
+                failed_calls_renew_validity: failed_calls_renew,
+                ..settings()
+            },
+            seed,
+        );
+        let holds = world.settings.validity_after_loss;
         world.list(ListKind::Full, vec![worker(0)]);
         world.event(Event::ListFailed);
         world.pass(Span(holds.0 / 2));
@@ -59,8 +66,8 @@
 fn a_silent_watch_is_called_for_in_time_and_nothing_is_sent_blindly() {
     for (dispatchers, seed) in (0..60).map(|n| ([1, 40, 300][n % 3], n as u64)) {
         let number = seed as u32 % dispatchers;
-        let settings = Settings { discovery: Discovery::Asked, dispatchers, number, ..settings() };
-        let told = settings.told_within;
+        let settings = Settings { discovery: Discovery::OnRequest, dispatchers, number, ..settings() };
+        let told = settings.validity_after_silence;
         let mut world = World::new(settings, seed);
         world.list(ListKind::Full, vec![worker(0)]);
         world.pass(ms(10_000));
@@ -84,7 +91,7 @@
 
 /// Settings under which only draining binds.
 fn lists_may_be_wrong() -> Settings {
-    Settings { zone: None, drain_binds_alone: true, ..settings() }
+    Settings { zone: None, only_draining_excludes: true, ..settings() }
 }
 
 /// A list that calls all workers gone, or leaves them out, stops nothing where only draining binds; a crash
@@ -94,7 +101,7 @@
     let mut world = World::new(lists_may_be_wrong(), 21);
     world.list(ListKind::Saved, vec![worker(0), worker(1), worker(2)]);
     world
-        .list(ListKind::Delta, (0..3).map(|n| ListEntry { standing: Standing::Gone, ..worker(n) }).collect());
+        .list(ListKind::Delta, (0..3).map(|n| ListEntry { state: WorkerState::Gone, ..worker(n) }).collect());
     world.list(ListKind::Full, vec![]);
     let lose_two = |world: &mut World, ids: std::ops::Range<u32>| {
         let before = sent_to(world, 2);
@@ -125,7 +132,7 @@
 /// A drain once seen holds in every order of later entries, until the list tells of a later start.
 #[test]
 fn a_seen_drain_holds_until_a_later_start() {
-    let gone = |n| ListEntry { standing: Standing::Gone, ..worker(n) };
+    let gone = |n| ListEntry { state: WorkerState::Gone, ..worker(n) };
     let later: [&dyn Fn(&mut World); 3] =
         [&|w| w.list(ListKind::Delta, vec![gone(0)]), &|w| w.list(ListKind::Full, vec![]), &|w| {
             w.list(ListKind::Full, vec![worker(0)])
@@ -133,7 +140,7 @@
     for (seed, then) in later.iter().enumerate() {
         let mut world = World::new(lists_may_be_wrong(), seed as u64);
         world.list(ListKind::Saved, vec![worker(0)]);
-        world.list(ListKind::Delta, vec![ListEntry { standing: Standing::Draining, ..worker(0) }]);
+        world.list(ListKind::Delta, vec![ListEntry { state: WorkerState::Draining, ..worker(0) }]);
         then(&mut world);
         world.arrive(0, 0);
         world.pass(ms(1500));
@@ -174,7 +181,7 @@
     };
     play(&mut world, 0..20);
     assert_eq!(sent_to(&world, 1), 0, "home has room");
-    world.list(ListKind::Delta, vec![ListEntry { standing: Standing::Draining, ..worker(1) }]);
+    world.list(ListKind::Delta, vec![ListEntry { state: WorkerState::Draining, ..worker(1) }]);
     play(&mut world, 20..30);
     world.list(ListKind::Delta, vec![worker(1)]);
     play(&mut world, 30..50);
--- a/tests/spoilt.rs
+++ b/tests/spoilt.rs
@@ -32,7 +32,7 @@
 
 /// Two workers of one kind and zone that have served 50 usual requests.
 fn after_usual_ones() -> World {
-    let mut world = World::new(Settings { marks_retries: true, cancel: true, ..settings() }, 5);
+    let mut world = World::new(Settings { marked_retries: true, cancel: true, ..settings() }, 5);
     world.list(ListKind::Saved, vec![worker(0), worker(2)]);
     for id in 0..50 {
         world.arrive_hinted(id, 0, ms(100));
