--- a/digest/src/follower.rs
+++ b/digest/src/follower.rs
@@ -2,17 +2,17 @@
 //! changes nothing; what leaves a gap asks for the whole. It must never read a clock: how long ago something came
 //! is for whoever holds it.
 
-use crate::code::decode;
 use crate::frame::{Frame, Load};
+use crate::quantize::dequantize;
 use std::collections::HashMap;
 
 /// What became of a frame.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
+pub enum ApplyOutcome {
     /// It holds: these runners' loads have changed.
     Changed(Vec<Load>),
     /// It is of an earlier publisher, of an earlier version, or came before: nothing has changed.
-    Old,
+    Stale,
     /// Frames are missing before it, or it makes no sense: the whole has to be asked for.
     Gap,
 }
@@ -29,7 +29,7 @@
 
 impl Follower {
     /// The epoch and version that it has.
-    pub fn held(&self) -> Option<(u64, u64)> {
+    pub fn current_version(&self) -> Option<(u64, u64)> {
         self.held
     }
 
@@ -39,14 +39,14 @@
     }
 
     /// Takes a frame.
-    pub fn take(&mut self, frame: &Frame) -> Taken {
+    pub fn apply(&mut self, frame: &Frame) -> ApplyOutcome {
         let old = |(epoch, version)| (frame.epoch, frame.version) <= (epoch, version);
         if self.held.is_some_and(old) {
-            return Taken::Old;
+            return ApplyOutcome::Stale;
         }
         let follows = Some((frame.epoch, frame.version.wrapping_sub(1)));
         if !frame.whole && self.held != follows {
-            return Taken::Gap;
+            return ApplyOutcome::Gap;
         }
         let mut next = if frame.whole { Follower::default() } else { std::mem::take(self) };
         if frame.whole {
@@ -57,14 +57,14 @@
             next.names.push(name.clone());
         }
         next.codes.resize(next.names.len(), Vec::new());
-        let Some(changed) = next.apply(&frame.body) else {
+        let Some(changed) = next.apply_body(&frame.body) else {
             // Part of it may have been put to use: nothing of it is believed.
             *self = Follower::default();
-            return Taken::Gap;
+            return ApplyOutcome::Gap;
         };
         next.held = Some((frame.epoch, frame.version));
         *self = next;
-        Taken::Changed(changed.into_iter().map(|number| self.load(number)).collect())
+        ApplyOutcome::Changed(changed.into_iter().map(|number| self.load(number)).collect())
     }
 
     /// What is known of a runner; none if nothing has been told.
@@ -74,7 +74,7 @@
     }
 
     /// Puts a body to use: the numbers of the runners that it tells of; none if it makes no sense.
-    fn apply(&mut self, body: &[u16]) -> Option<Vec<usize>> {
+    fn apply_body(&mut self, body: &[u16]) -> Option<Vec<usize>> {
         let (mut rest, mut number, mut changed) = (body.iter().copied(), 0, Vec::new());
         while let Some(step) = rest.next() {
             let mask = rest.next()?;
@@ -95,7 +95,7 @@
         Load {
             runner: self.names[number].clone(),
             ok: codes.first().is_some_and(|ok| *ok != 0),
-            figures: codes.iter().skip(1).map(|code| decode(*code)).collect(),
+            values: codes.iter().skip(1).map(|code| dequantize(*code)).collect(),
         }
     }
 }
--- a/digest/src/frame.rs
+++ b/digest/src/frame.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest frame, in bytes: some 4,000 runners with names of ten bytes.
-pub const LONGEST: usize = 65_535;
+pub const MAX_FRAME_BYTES: usize = 65_535;
 
 /// What a runner said of itself, by the names of [`Frame::fields`]; none when it did not answer.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,7 +14,7 @@
     /// Whether it answered that it takes work.
     pub ok: bool,
     /// Its figures, in the order of the fields; 0 where it told none.
-    pub figures: Vec<f64>,
+    pub values: Vec<f64>,
 }
 
 /// One message of a digest.
@@ -37,26 +37,26 @@
 
 /// Bytes that are no frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub &'static str);
+pub struct FrameError(pub &'static str);
 
 impl Frame {
     /// Its bytes, with their length before them.
     ///
     /// # Errors
     ///
-    /// It is longer than [`LONGEST`].
-    pub fn bytes(&self) -> Result<Vec<u8>, Unreadable> {
-        let bytes = postcard::to_stdvec(self).map_err(|_| Unreadable("can't be worded"))?;
-        let length = u16::try_from(bytes.len()).map_err(|_| Unreadable("longer than a frame may be"))?;
+    /// It is longer than [`MAX_FRAME_BYTES`].
+    pub fn to_bytes(&self) -> Result<Vec<u8>, FrameError> {
+        let bytes = postcard::to_stdvec(self).map_err(|_| FrameError("can't be worded"))?;
+        let length = u16::try_from(bytes.len()).map_err(|_| FrameError("longer than a frame may be"))?;
         Ok([&length.to_le_bytes()[..], &bytes].concat())
     }
 }
 
 /// Frames out of a stream of bytes that comes in any pieces.
 #[derive(Debug, Default)]
-pub struct Stream(Vec<u8>);
+pub struct FrameDecoder(Vec<u8>);
 
-impl Stream {
+impl FrameDecoder {
     /// More bytes have come.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.0.extend_from_slice(bytes);
@@ -67,12 +67,12 @@
     /// # Errors
     ///
     /// What came is no frame: nothing after it can be read either.
-    pub fn pop(&mut self) -> Result<Option<Frame>, Unreadable> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.0.first_chunk().map(|length| usize::from(u16::from_le_bytes(*length))) else {
             return Ok(None);
         };
         let Some(bytes) = self.0.get(2..2 + length) else { return Ok(None) };
-        let frame = postcard::from_bytes(bytes).map_err(|_| Unreadable("not a frame"))?;
+        let frame = postcard::from_bytes(bytes).map_err(|_| FrameError("not a frame"))?;
         self.0.drain(..2 + length);
         Ok(Some(frame))
     }
--- a/digest/src/lib.rs
+++ b/digest/src/lib.rs
@@ -3,12 +3,12 @@
 //! what is told of it when, and what a follower may believe. It must never read a clock or touch a socket, nor
 //! decide where a request goes.
 
-mod code;
 mod follower;
 mod frame;
 mod publisher;
+mod quantize;
 
-pub use code::{decode, encode};
-pub use follower::{Follower, Taken};
-pub use frame::{Frame, LONGEST, Load, Stream, Unreadable};
+pub use follower::{ApplyOutcome, Follower};
+pub use frame::{Frame, FrameDecoder, FrameError, Load, MAX_FRAME_BYTES};
 pub use publisher::Publisher;
+pub use quantize::{dequantize, quantize};
--- a/digest/src/publisher.rs
+++ b/digest/src/publisher.rs
@@ -1,8 +1,8 @@
 //! What is told of the runners' loads, and when: changes that matter, the greatest first, within a budget of
 //! bytes; what does not fit is told later. It owns what has been told; it must never ask a runner.
 
-use crate::code::encode;
 use crate::frame::{Frame, Load};
+use crate::quantize::quantize;
 use std::collections::HashMap;
 
 /// A change of a large figure by fewer steps than this is not told: some 6%, within which it swings by chance.
@@ -40,7 +40,7 @@
     }
 
     /// A runner has said what its load is, or did not answer.
-    pub fn heard(&mut self, load: &Load) {
+    pub fn record(&mut self, load: &Load) {
         let number = self.numbers.get(&load.runner).copied().unwrap_or_else(|| {
             self.numbers.insert(load.runner.clone(), self.names.len());
             self.names.push(load.runner.clone());
@@ -49,8 +49,8 @@
             self.waits.push(None);
             self.names.len() - 1
         });
-        let figure = |at: usize| load.figures.get(at).copied().unwrap_or(0.0);
-        let codes = (0..self.fields.len()).map(|at| encode(figure(at)));
+        let figure = |at: usize| load.values.get(at).copied().unwrap_or(0.0);
+        let codes = (0..self.fields.len()).map(|at| quantize(figure(at)));
         self.now[number] = std::iter::once(u16::from(load.ok)).chain(codes).collect();
         let differs = differs(&self.told[number], &self.now[number]);
         self.waits[number] = differs.then(|| self.waits[number].unwrap_or(self.version));
@@ -58,7 +58,7 @@
 
     /// The next frame, of so many bytes at the most (but for names, which are told at once): changes by how long
     /// they have waited, then by how much they matter. Every follower gets it; an empty one is a sign of life.
-    pub fn next(&mut self, most: usize) -> Frame {
+    pub fn next_frame(&mut self, most: usize) -> Frame {
         let mut changed: Vec<_> = (0..self.names.len())
             .filter_map(|n| Some((self.waits[n]?, n, weight(&self.told[n], &self.now[n]))))
             .collect();
@@ -86,7 +86,7 @@
     }
 
     /// Everything that has been told, for a follower that has nothing: what waits comes with the next frame.
-    pub fn whole(&self) -> Frame {
+    pub fn full_frame(&self) -> Frame {
         let none = Vec::new();
         let told = self.told.iter().enumerate().filter(|(_, told)| !told.is_empty());
         Frame {
--- a/digest/src/code.rs
+++ b/digest/src/quantize.rs
@@ -6,7 +6,7 @@
 const STEPS: u32 = 16;
 
 /// The code of a figure: 0 to 127 take one byte in a frame, others two.
-pub fn encode(figure: f64) -> u16 {
+pub fn quantize(figure: f64) -> u16 {
     let eighths = if figure.is_finite() { (figure * 8.0).round().clamp(0.0, 1e12) } else { 0.0 };
     if eighths < f64::from(EXACT) {
         return eighths as u16;
@@ -17,7 +17,7 @@
 }
 
 /// The figure of a code.
-pub fn decode(code: u16) -> f64 {
+pub fn dequantize(code: u16) -> f64 {
     let code = u32::from(code);
     if code < EXACT {
         return f64::from(code) / 8.0;
--- a/keys/benches/store.rs
+++ b/keys/benches/store.rs
@@ -6,7 +6,9 @@
 
 use criterion::Criterion;
 use sablerun::{Span, Time};
-use sablerun_keys::{Admission, Asked, Bounds, Fate, Fingerprint, Member, Rule, Run, Store};
+use sablerun_keys::{
+    Admission, Bounds, Fingerprint, KeyedRequest, Member, Resolution, Retention, RunId, Store,
+};
 use sha2::{Digest, Sha256};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -23,21 +25,21 @@
     text.as_bytes().try_into().expect("32 digits")
 }
 
-fn asked(key: &[u8]) -> Asked<'_> {
-    Asked { member: Member(1), class: 0, key, print: Fingerprint([3; 16]), retry: false }
+fn asked(key: &[u8]) -> KeyedRequest<'_> {
+    KeyedRequest { member: Member(1), class: 0, key, fingerprint: Fingerprint([3; 16]), retry: false }
 }
 
 /// A store that holds so many served keys, one settled each microsecond, the oldest about to expire.
 fn filled(size: u64) -> (Store, u64) {
     let bounds = Bounds {
-        entries: size as usize * 2,
-        bytes: usize::MAX,
-        result: 4096,
-        key: 64,
-        member: usize::MAX,
+        max_entries: size as usize * 2,
+        max_bytes: usize::MAX,
+        max_result_bytes: 4096,
+        max_key_bytes: 64,
+        max_entries_per_member: usize::MAX,
         hold_off: Span(1),
     };
-    let mut store = Store::new(bounds, vec![Rule { window: Span(size), keep: Span(size) }]);
+    let mut store = Store::new(bounds, vec![Retention { window: Span(size), uncertain_ttl: Span(size) }]);
     for number in 0..size {
         life(&mut store, number);
     }
@@ -47,10 +49,10 @@
 fn life(store: &mut Store, number: u64) {
     let key = key(number);
     let now = Time(number);
-    assert_eq!(store.ask(now, &asked(&key), Run(number)), Admission::New);
-    assert_eq!(store.ask(now, &asked(&key), Run(number)), Admission::Join(Run(number)));
-    store.settle(now, Member(1), 0, &key, Fate::Served(vec![7; RESULT].into()));
-    assert!(matches!(store.ask(now, &asked(&key), Run(number)), Admission::HandBack(_)));
+    assert_eq!(store.admit(now, &asked(&key), RunId(number)), Admission::New);
+    assert_eq!(store.admit(now, &asked(&key), RunId(number)), Admission::Join(RunId(number)));
+    store.resolve(now, Member(1), 0, &key, Resolution::Served(vec![7; RESULT].into()));
+    assert!(matches!(store.admit(now, &asked(&key), RunId(number)), Admission::Replay(_)));
 }
 
 fn main() {
@@ -91,8 +93,8 @@
                 Sha256::new().chain_update("/api?sid=7f3a9c21e0b4d655").chain_update(&job).finalize();
             let print = Fingerprint(std::array::from_fn(|n| digest[n]));
             let (key, now) = (key(*next), Time(*next));
-            black_box(store.ask(now, &Asked { print, ..asked(&key) }, Run(*next)));
-            store.settle(now, Member(1), 0, &key, Fate::Served(vec![7; RESULT].into()));
+            black_box(store.admit(now, &KeyedRequest { fingerprint: print, ..asked(&key) }, RunId(*next)));
+            store.resolve(now, Member(1), 0, &key, Resolution::Served(vec![7; RESULT].into()));
             *next += 1;
         }
         begun.elapsed().as_nanos() as f64 / 20_000.0
--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -30,32 +30,32 @@
 
 /// The run of a request under way: a number that the caller made up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Run(pub u64);
+pub struct RunId(pub u64);
 
 /// How long a class's keys are kept, each from the moment in which its request was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rule {
+pub struct Retention {
     /// A result is handed back, and a repeat of what may have run goes to the same hall, for so long.
     /// The hall's own window counts from the sending, so a repeat ends earlier where that does.
     pub window: Span,
     /// What may have run is remembered for so long, at least the window: beyond the window a repeat
     /// fails, since a hall would run it again.
-    pub keep: Span,
+    pub uncertain_ttl: Span,
 }
 
 /// What the store may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Keys under way and settled.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Bytes of keys, results and the store's own overhead, as [`Store::bytes`] counts them.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Largest result that is kept, in bytes.
-    pub result: usize,
+    pub max_result_bytes: usize,
     /// Longest key, in bytes.
-    pub key: usize,
+    pub max_key_bytes: usize,
     /// Keys of one member.
-    pub member: usize,
+    pub max_entries_per_member: usize,
     /// When to come back where only time can tell when there will be room.
     pub hold_off: Span,
 }
@@ -78,48 +78,48 @@
 
 /// The sendings of a request that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentAttempts {
     /// Where; `None` if that is not known, and a repeat may go nowhere.
     pub place: Option<Place>,
     /// The first that may have run: the hall's window counts from it.
-    pub first: Time,
+    pub first_at: Time,
     /// The last that may have run.
-    pub last: Time,
+    pub last_at: Time,
     /// How many.
-    pub times: u32,
+    pub count: u32,
 }
 
-impl Sent {
+impl SentAttempts {
     /// One sending.
-    pub fn once(place: Option<Place>, at: Time) -> Sent {
-        Sent { place, first: at, last: at, times: 1 }
+    pub fn single(place: Option<Place>, at: Time) -> SentAttempts {
+        SentAttempts { place, first_at: at, last_at: at, count: 1 }
     }
 
     /// Adds a later sending. It must be to the same place; if it is not, no place is safe any more.
-    pub fn and(self, later: Sent) -> Sent {
-        Sent {
+    pub fn merge(self, later: SentAttempts) -> SentAttempts {
+        SentAttempts {
             place: self.place.filter(|place| later.place == Some(*place)),
-            first: self.first.min(later.first),
-            last: self.last.max(later.last),
-            times: self.times.saturating_add(later.times),
+            first_at: self.first_at.min(later.first_at),
+            last_at: self.last_at.max(later.last_at),
+            count: self.count.saturating_add(later.count),
         }
     }
 }
 
 /// How a request under a key was settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Resolution {
     /// With this result.
     Served(Bytes),
     /// Failed, timed out, reset or left: it may have run.
-    MayHaveRun(Sent),
+    MayHaveRun(SentAttempts),
     /// It is proven that it never ran: the key is free.
     NeverRan,
 }
 
 /// A request with a key.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct KeyedRequest<'a> {
     /// Whose key.
     pub member: Member,
     /// The class, by its number.
@@ -127,7 +127,7 @@
     /// The key as the client wrote it.
     pub key: &'a [u8],
     /// What is asked for.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// The client marks it as a later try.
     pub retry: bool,
 }
@@ -138,21 +138,21 @@
     /// Begin: the key is under way now, and the caller settles it.
     New,
     /// Begin again, but only where the first may have run; the key is under way now.
-    Again(Sent),
+    Resend(SentAttempts),
     /// Wait for the answer of the request under way.
-    Join(Run),
+    Join(RunId),
     /// Take the first one's result.
-    HandBack(Bytes),
+    Replay(Bytes),
     /// Fail: it may have run, and no hall would know a repeat for one any more.
-    Spent,
+    NotRepeatable,
     /// Fail: it was served, but its result was too large to keep.
-    NotKept,
+    ResultNotStored,
     /// Fail: a later try whose first one this store can't know, too soon after its start.
-    Unknown,
+    UnknownRetry,
     /// An error of the client: the key stands for another request.
     Conflict,
     /// An error of the client: the key is empty or too long.
-    BadKey,
+    InvalidKey,
     /// Refused: there is no room. Come back after this.
     Full(Span),
 }
@@ -161,19 +161,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Keys that began.
-    pub began: u64,
+    pub started: u64,
     /// Repeats that joined one under way.
     pub joined: u64,
     /// Repeats that were handed the first one's result.
-    pub handed_back: u64,
+    pub replayed: u64,
     /// Repeats sent again, bound to the first one's hall.
-    pub again: u64,
+    pub resent: u64,
     /// Repeats failed: the window was over, or the hall not known.
-    pub spent: u64,
+    pub not_repeatable: u64,
     /// Repeats failed: the result had not been kept.
-    pub not_kept: u64,
+    pub result_not_stored: u64,
     /// Marked later tries failed soon after the start.
-    pub unknown: u64,
+    pub unknown_retries: u64,
     /// Keys given for another request.
     pub conflicts: u64,
     /// Newcomers refused: the store was full.
@@ -181,7 +181,7 @@
     /// Newcomers refused: their member held its most.
     pub member_full: u64,
     /// Keys that may have run, dropped for want of room after their window.
-    pub forgotten: u64,
+    pub evicted: u64,
     /// Results not kept: too large, or no room.
     pub results_dropped: u64,
 }
--- a/keys/src/snapshot.rs
+++ b/keys/src/snapshot.rs
@@ -5,7 +5,7 @@
 //! `SRKEYS` and two bytes of format version, eight bytes of payload length, four bytes of CRC-32 of the
 //! payload, then the payload in postcard's encoding. All numbers are little-endian.
 
-use crate::{Fate, Fingerprint, Member, Place, Record, Sent};
+use crate::{Fingerprint, Member, Place, Record, Resolution, SentAttempts};
 use bytes::Bytes;
 use sablerun::Time;
 use std::fmt;
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     /// When it was made, on the program's clock (Unix time in nanoseconds).
-    pub made: Time,
+    pub taken_at: Time,
     /// It was made at an orderly end, after the last answer: nothing was sent that it does not hold.
-    pub last: bool,
+    pub clean_shutdown: bool,
     /// The names that the records' numbers stand for.
     pub names: Names,
     /// The keys, oldest first.
@@ -99,23 +99,24 @@
     /// The snapshot as bytes.
     pub fn encode(&self) -> Vec<u8> {
         let stored = |record: &Record| {
-            let (result, sent) = match &record.fate {
-                Fate::Served(result) => (Some(result.to_vec()), None),
-                Fate::MayHaveRun(s) => (None, Some((s.place, s.first.0, s.last.0, s.times))),
-                Fate::NeverRan => (None, None),
+            let (result, sent) = match &record.resolution {
+                Resolution::Served(result) => (Some(result.to_vec()), None),
+                Resolution::MayHaveRun(s) => (None, Some((s.place, s.first_at.0, s.last_at.0, s.count))),
+                Resolution::NeverRan => (None, None),
             };
             Stored {
                 member: record.member.0,
                 class: record.class,
                 key: record.key.clone(),
-                print: record.print.0,
-                at: record.at.0,
+                print: record.fingerprint.0,
+                at: record.resolved_at.0,
                 result,
                 sent,
             }
         };
         let records = self.records.iter().map(stored).collect();
-        let payload = Payload { made: self.made.0, last: self.last, names: self.names.clone(), records };
+        let payload =
+            Payload { made: self.taken_at.0, last: self.clean_shutdown, names: self.names.clone(), records };
         let payload = postcard::to_stdvec(&payload).expect("plain data into memory");
         let mut bytes = Vec::with_capacity(HEAD + payload.len());
         bytes.extend_from_slice(MAGIC);
@@ -154,23 +155,31 @@
             postcard::from_bytes(payload).map_err(|e| SnapshotError::Payload(e.to_string()))?;
         let record = |stored: Stored| {
             let fate = match (stored.result, stored.sent) {
-                (Some(result), _) => Fate::Served(Bytes::from(result)),
-                (None, Some((place, first, last, times))) => {
-                    Fate::MayHaveRun(Sent { place, first: Time(first), last: Time(last), times })
-                }
-                (None, None) => Fate::NeverRan,
+                (Some(result), _) => Resolution::Served(Bytes::from(result)),
+                (None, Some((place, first, last, times))) => Resolution::MayHaveRun(SentAttempts {
+                    place,
+                    first_at: Time(first),
+                    last_at: Time(last),
+                    count: times,
+                }),
+                (None, None) => Resolution::NeverRan,
             };
             Record {
                 member: Member(stored.member),
                 class: stored.class,
                 key: stored.key,
-                print: Fingerprint(stored.print),
-                at: Time(stored.at),
-                fate,
+                fingerprint: Fingerprint(stored.print),
+                resolved_at: Time(stored.at),
+                resolution: fate,
             }
         };
         let records = payload.records.into_iter().map(record).collect();
-        Ok(Snapshot { made: Time(payload.made), last: payload.last, names: payload.names, records })
+        Ok(Snapshot {
+            taken_at: Time(payload.made),
+            clean_shutdown: payload.last,
+            names: payload.names,
+            records,
+        })
     }
 
     /// The records with another process's numbers put in place of this one's, by the names. A record
@@ -188,7 +197,7 @@
             if record.member != Member::NONE {
                 record.member = Member(member(&name(&members, record.member.0)?)?);
             }
-            if let Fate::MayHaveRun(sent) = &mut record.fate {
+            if let Resolution::MayHaveRun(sent) = &mut record.resolution {
                 sent.place = sent
                     .place
                     .and_then(|place| Some(Place { zone: zone(&name(&zones, place.zone)?)?, ..place }));
--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -6,7 +6,9 @@
 //! There are two lanes a class however many keys there are: a step costs a few look-ups, and the dropping
 //! of what has expired is paid for by the steps that put it there.
 
-use crate::{Admission, Asked, Bounds, Counts, Fate, Fingerprint, Member, Rule, Run, Sent};
+use crate::{
+    Admission, Bounds, Counts, Fingerprint, KeyedRequest, Member, Resolution, Retention, RunId, SentAttempts,
+};
 use bytes::Bytes;
 use hashlink::LinkedHashMap;
 use sablerun::{Span, Time};
@@ -24,9 +26,9 @@
 
 struct UnderWay {
     print: Fingerprint,
-    run: Run,
+    run: RunId,
     /// What is known of an earlier try that may have run.
-    earlier: Option<Sent>,
+    earlier: Option<SentAttempts>,
 }
 
 struct Settled {
@@ -35,13 +37,13 @@
     /// `None` in a lane of served keys: the result was not kept.
     result: Option<Bytes>,
     /// Set in a lane of keys that may have run.
-    sent: Option<Sent>,
+    sent: Option<SentAttempts>,
 }
 
 type Lane = LinkedHashMap<Id, Settled, Hash>;
 
 struct Class {
-    rule: Rule,
+    rule: Retention,
     /// Until when a later try may be of a request that a predecessor took.
     doubt_until: Time,
     served: Lane,
@@ -58,11 +60,11 @@
     /// The key.
     pub key: Vec<u8>,
     /// What was asked for.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// When it was settled.
-    pub at: Time,
+    pub resolved_at: Time,
     /// How: served, or may have run.
-    pub fate: Fate,
+    pub resolution: Resolution,
 }
 
 /// What is held, counted.
@@ -113,7 +115,7 @@
 
 impl Store {
     /// An empty store with a rule for each class.
-    pub fn new(bounds: Bounds, rules: Vec<Rule>) -> Store {
+    pub fn new(bounds: Bounds, rules: Vec<Retention>) -> Store {
         let mut store = Store {
             bounds,
             classes: Vec::new(),
@@ -127,22 +129,22 @@
     }
 
     /// One more class, numbered after those before it.
-    pub fn add_class(&mut self, rule: Rule) {
+    pub fn add_class(&mut self, rule: Retention) {
         let lane = || LinkedHashMap::with_hasher(Hash::default());
-        let rule = Rule { keep: rule.keep.max(rule.window), ..rule };
+        let rule = Retention { uncertain_ttl: rule.uncertain_ttl.max(rule.window), ..rule };
         self.classes.push(Class { rule, doubt_until: Time(0), served: lane(), uncertain: lane() });
     }
 
     /// Until then a class's marked later try under an unknown key fails: a predecessor may have sent it
     /// anywhere.
-    pub fn doubt_until(&mut self, class: u32, until: Time) {
+    pub fn reject_unknown_retries_until(&mut self, class: u32, until: Time) {
         if let Some(class) = self.classes.get_mut(class as usize) {
             class.doubt_until = until;
         }
     }
 
     /// Whether a class is in doubt still: what a predecessor sent may be known to nobody.
-    pub fn in_doubt(&self, now: Time) -> bool {
+    pub fn rejects_unknown_retries(&self, now: Time) -> bool {
         self.classes.iter().any(|class| now < class.doubt_until)
     }
 
@@ -152,7 +154,7 @@
     }
 
     /// Keys under way.
-    pub fn under_way(&self) -> usize {
+    pub fn in_progress(&self) -> usize {
         self.under_way.len()
     }
 
@@ -172,20 +174,20 @@
     }
 
     /// What a request may do. Where that is to begin, the key is under way as `run` until
-    /// [`settle`](Store::settle) ends it.
+    /// [`resolve`](Store::resolve) ends it.
     ///
     /// Guards against a repeat that runs a second time, at another hall above all. Could do harm where a
     /// client uses one key for two requests: the second gets the first one's answer, unless its body or
     /// path differs.
-    pub fn ask(&mut self, now: Time, asked: &Asked, run: Run) -> Admission {
-        if asked.key.is_empty() || asked.key.len() > self.bounds.key {
-            return Admission::BadKey;
+    pub fn admit(&mut self, now: Time, asked: &KeyedRequest, run: RunId) -> Admission {
+        if asked.key.is_empty() || asked.key.len() > self.bounds.max_key_bytes {
+            return Admission::InvalidKey;
         }
-        let Some(class) = self.classes.get_mut(asked.class as usize) else { return Admission::BadKey };
+        let Some(class) = self.classes.get_mut(asked.class as usize) else { return Admission::InvalidKey };
         identity(&mut self.scratch, asked.member, asked.class, asked.key);
         let id = self.scratch.as_slice();
         if let Some(held) = self.under_way.get(id) {
-            if held.print != asked.print {
+            if held.print != asked.fingerprint {
                 self.counts.conflicts += 1;
                 return Admission::Conflict;
             }
@@ -194,37 +196,37 @@
         }
         let rule = class.rule;
         if let Some(held) = class.served.get(id).filter(|held| now < held.at + rule.window) {
-            return if held.print != asked.print {
+            return if held.print != asked.fingerprint {
                 self.counts.conflicts += 1;
                 Admission::Conflict
             } else if let Some(result) = &held.result {
-                self.counts.handed_back += 1;
-                Admission::HandBack(result.clone())
+                self.counts.replayed += 1;
+                Admission::Replay(result.clone())
             } else {
-                self.counts.not_kept += 1;
-                Admission::NotKept
+                self.counts.result_not_stored += 1;
+                Admission::ResultNotStored
             };
         }
-        if let Some(held) = class.uncertain.get(id).filter(|held| now < held.at + rule.keep) {
-            if held.print != asked.print {
+        if let Some(held) = class.uncertain.get(id).filter(|held| now < held.at + rule.uncertain_ttl) {
+            if held.print != asked.fingerprint {
                 self.counts.conflicts += 1;
                 return Admission::Conflict;
             }
-            let sent = held.sent.filter(|sent| sent.place.is_some() && now < sent.first + rule.window);
+            let sent = held.sent.filter(|sent| sent.place.is_some() && now < sent.first_at + rule.window);
             let Some(sent) = sent else {
-                self.counts.spent += 1;
-                return Admission::Spent;
+                self.counts.not_repeatable += 1;
+                return Admission::NotRepeatable;
             };
             // From settled to under way: it takes no more room than it has.
             let (id, held) = class.uncertain.remove_entry(id).expect("looked up above");
             self.held.settled -= 1;
-            self.counts.again += 1;
+            self.counts.resent += 1;
             self.under_way.insert(id, UnderWay { print: held.print, run, earlier: Some(sent) });
-            return Admission::Again(sent);
+            return Admission::Resend(sent);
         }
         if asked.retry && now < class.doubt_until {
-            self.counts.unknown += 1;
-            return Admission::Unknown;
+            self.counts.unknown_retries += 1;
+            return Admission::UnknownRetry;
         }
         let need = OVERHEAD + id.len();
         if let Some(wait) = self.no_room(now, asked.member, need) {
@@ -237,25 +239,25 @@
                 self.held.drop(&id, &held);
             }
         }
-        self.counts.began += 1;
+        self.counts.started += 1;
         self.held.enter(asked.member, self.scratch.len());
-        let begun = UnderWay { print: asked.print, run, earlier: None };
+        let begun = UnderWay { print: asked.fingerprint, run, earlier: None };
         self.under_way.insert(self.scratch.as_slice().into(), begun);
         Admission::New
     }
 
     /// Ends the run of a key; one that is not under way is passed over.
-    pub fn settle(&mut self, now: Time, member: Member, class: u32, key: &[u8], fate: Fate) {
+    pub fn resolve(&mut self, now: Time, member: Member, class: u32, key: &[u8], fate: Resolution) {
         identity(&mut self.scratch, member, class, key);
         let Some((id, held)) = self.under_way.remove_entry(self.scratch.as_slice()) else { return };
         let (result, sent) = match (fate, held.earlier) {
-            (Fate::Served(result), _) => (Some(result), None),
-            (Fate::MayHaveRun(sent), earlier) => {
-                (None, Some(earlier.map_or(sent, |earlier| earlier.and(sent))))
+            (Resolution::Served(result), _) => (Some(result), None),
+            (Resolution::MayHaveRun(sent), earlier) => {
+                (None, Some(earlier.map_or(sent, |earlier| earlier.merge(sent))))
             }
             // This try never ran, but the earlier one may have.
-            (Fate::NeverRan, Some(earlier)) => (None, Some(earlier)),
-            (Fate::NeverRan, None) => {
+            (Resolution::NeverRan, Some(earlier)) => (None, Some(earlier)),
+            (Resolution::NeverRan, None) => {
                 self.held.leave(member, id.len());
                 return;
             }
@@ -266,7 +268,7 @@
     fn keep(&mut self, now: Time, id: Id, mut settled: Settled) {
         if let Some(result) = &settled.result {
             let size = result.len();
-            if size > self.bounds.result || !self.fits(now, 0, size) {
+            if size > self.bounds.max_result_bytes || !self.fits(now, 0, size) {
                 self.counts.results_dropped += 1;
                 settled.result = None;
             } else {
@@ -282,7 +284,8 @@
     /// Whether there is room for so many more entries and bytes, once what may go has gone.
     fn fits(&mut self, now: Time, entries: usize, bytes: usize) -> bool {
         let fit = |store: &Store| {
-            store.len() + entries <= store.bounds.entries && store.bytes() + bytes <= store.bounds.bytes
+            store.len() + entries <= store.bounds.max_entries
+                && store.bytes() + bytes <= store.bounds.max_bytes
         };
         for _ in 0..STRIDE {
             if fit(self) {
@@ -299,9 +302,9 @@
     fn no_room(&mut self, now: Time, member: Member, need: usize) -> Option<Span> {
         self.expire(now, 2);
         let held = |store: &Store| store.held.members.get(&member).copied().unwrap_or(0);
-        if held(self) >= self.bounds.member {
+        if held(self) >= self.bounds.max_entries_per_member {
             self.expire(now, STRIDE);
-            if held(self) >= self.bounds.member {
+            if held(self) >= self.bounds.max_entries_per_member {
                 self.counts.member_full += 1;
                 return Some(self.wait(now));
             }
@@ -333,7 +336,7 @@
     pub fn expire(&mut self, now: Time, most: usize) -> usize {
         let mut dropped = 0;
         for class in &mut self.classes {
-            let Rule { window, keep } = class.rule;
+            let Retention { window, uncertain_ttl: keep } = class.rule;
             for (lane, kept) in [(&mut class.served, window), (&mut class.uncertain, keep)] {
                 while dropped < most && lane.front().is_some_and(|(_, held)| held.at + kept <= now) {
                     let (id, held) = lane.pop_front().expect("looked at above");
@@ -352,7 +355,7 @@
         let lane = if lane == 0 { &mut class.served } else { &mut class.uncertain };
         let (id, held) = lane.pop_front().expect("its front was looked at");
         if held.sent.is_some() {
-            self.counts.forgotten += 1;
+            self.counts.evicted += 1;
         }
         self.held.drop(&id, &held);
         true
@@ -360,33 +363,40 @@
 
     /// All that a successor should know, oldest first. What is under way may have been sent since anywhere
     /// that `sent` does not tell of.
-    pub fn records(&self, now: Time, sent: impl Fn(Run) -> Option<Sent>) -> Vec<Record> {
+    pub fn records(&self, now: Time, sent: impl Fn(RunId) -> Option<SentAttempts>) -> Vec<Record> {
         let record = |id: &Id, print, at, fate| {
             let (member, class) = (member_of(id), class_of(id));
-            Record { member, class, key: id[8..].to_vec(), print, at, fate }
+            Record {
+                member,
+                class,
+                key: id[8..].to_vec(),
+                fingerprint: print,
+                resolved_at: at,
+                resolution: fate,
+            }
         };
         let mut all = Vec::with_capacity(self.len());
         for class in &self.classes {
             for (id, held) in class.served.iter().chain(&class.uncertain) {
                 let fate = match (&held.sent, &held.result) {
-                    (Some(sent), _) => Fate::MayHaveRun(*sent),
-                    (None, Some(result)) => Fate::Served(result.clone()),
+                    (Some(sent), _) => Resolution::MayHaveRun(*sent),
+                    (None, Some(result)) => Resolution::Served(result.clone()),
                     // Without its result it is as good as spent: a repeat must not run.
-                    (None, None) => Fate::MayHaveRun(Sent::once(None, held.at)),
+                    (None, None) => Resolution::MayHaveRun(SentAttempts::single(None, held.at)),
                 };
                 all.push(record(id, held.print, held.at, fate));
             }
         }
         for (id, held) in &self.under_way {
-            let unknown = Sent::once(None, now);
+            let unknown = SentAttempts::single(None, now);
             let sent = match (held.earlier, sent(held.run)) {
-                (Some(earlier), Some(sent)) => earlier.and(sent),
+                (Some(earlier), Some(sent)) => earlier.merge(sent),
                 (earlier, sent) => earlier.or(sent).unwrap_or(unknown),
             };
-            all.push(record(id, held.print, now, Fate::MayHaveRun(sent)));
+            all.push(record(id, held.print, now, Resolution::MayHaveRun(sent)));
         }
         // In an order that does not hang on the tables' seeds.
-        let order = |r: &Record| (r.at, r.member, r.class);
+        let order = |r: &Record| (r.resolved_at, r.member, r.class);
         all.sort_by(|a, b| order(a).cmp(&order(b)).then_with(|| a.key.cmp(&b.key)));
         all
     }
@@ -394,29 +404,33 @@
     /// Takes a predecessor's records, oldest first. Those that have expired, or are of a class that there
     /// is not, are passed over; where there is no room for all, the oldest are. How many were taken.
     pub fn restore(&mut self, now: Time, mut records: Vec<Record>) -> usize {
-        records.sort_by_key(|record| record.at);
+        records.sort_by_key(|record| record.resolved_at);
         let mut taken = 0;
-        let room = self.bounds.entries.saturating_sub(self.len());
+        let room = self.bounds.max_entries.saturating_sub(self.len());
         let skip = records.len().saturating_sub(room);
         for record in records.into_iter().skip(skip) {
             let Some(rule) = self.classes.get(record.class as usize).map(|class| class.rule) else {
                 continue;
             };
             // A clock that was set back must not make a key last for ever.
-            let at = record.at.min(now);
-            let kept = if matches!(record.fate, Fate::Served(_)) { rule.window } else { rule.keep };
+            let at = record.resolved_at.min(now);
+            let kept = if matches!(record.resolution, Resolution::Served(_)) {
+                rule.window
+            } else {
+                rule.uncertain_ttl
+            };
             let key = record.key.as_slice();
-            if at + kept <= now || key.is_empty() || key.len() > self.bounds.key {
+            if at + kept <= now || key.is_empty() || key.len() > self.bounds.max_key_bytes {
                 continue;
             }
-            let (result, sent) = match record.fate {
-                Fate::Served(result) => (Some(result), None),
-                Fate::MayHaveRun(sent) => (None, Some(sent)),
-                Fate::NeverRan => continue,
+            let (result, sent) = match record.resolution {
+                Resolution::Served(result) => (Some(result), None),
+                Resolution::MayHaveRun(sent) => (None, Some(sent)),
+                Resolution::NeverRan => continue,
             };
             identity(&mut self.scratch, record.member, record.class, key);
             let need = OVERHEAD + self.scratch.len();
-            if self.held.bytes + need > self.bounds.bytes
+            if self.held.bytes + need > self.bounds.max_bytes
                 || self.under_way.contains_key(self.scratch.as_slice())
             {
                 continue;
@@ -428,7 +442,7 @@
             }
             self.held.enter(record.member, self.scratch.len());
             let id: Id = self.scratch.as_slice().into();
-            self.keep(now, id, Settled { print: record.print, at, result, sent });
+            self.keep(now, id, Settled { print: record.fingerprint, at, result, sent });
             taken += 1;
         }
         taken
--- a/keys/tests/cases.rs
+++ b/keys/tests/cases.rs
@@ -2,20 +2,26 @@
 
 use sablerun::{Span, Time};
 use sablerun_keys::{
-    Admission, Asked, Bounds, FORMAT, Fate, Fingerprint, Member, Names, Place, Rule, Run, Sent, Snapshot,
-    SnapshotError, Store,
+    Admission, Bounds, FORMAT, Fingerprint, KeyedRequest, Member, Names, Place, Resolution, Retention, RunId,
+    SentAttempts, Snapshot, SnapshotError, Store,
 };
 
 const WINDOW: u64 = 10_000;
 
 fn store(entries: usize, member: usize) -> Store {
-    let bounds =
-        Bounds { entries, bytes: 1 << 30, result: 1 << 16, key: 1 << 16, member, hold_off: Span(250) };
-    Store::new(bounds, vec![Rule { window: Span(WINDOW), keep: Span(3 * WINDOW) }])
+    let bounds = Bounds {
+        max_entries: entries,
+        max_bytes: 1 << 30,
+        max_result_bytes: 1 << 16,
+        max_key_bytes: 1 << 16,
+        max_entries_per_member: member,
+        hold_off: Span(250),
+    };
+    Store::new(bounds, vec![Retention { window: Span(WINDOW), uncertain_ttl: Span(3 * WINDOW) }])
 }
 
-fn asked(member: u32, key: &[u8]) -> Asked<'_> {
-    Asked { member: Member(member), class: 0, key, print: Fingerprint([1; 16]), retry: false }
+fn asked(member: u32, key: &[u8]) -> KeyedRequest<'_> {
+    KeyedRequest { member: Member(member), class: 0, key, fingerprint: Fingerprint([1; 16]), retry: false }
 }
 
 fn place(zone: u32) -> Option<Place> {
@@ -28,7 +34,7 @@
     let (mut began, mut refused) = (Vec::new(), 0);
     for n in 0..1000u32 {
         let key = n.to_le_bytes();
-        match store.ask(Time(n.into()), &asked(0, &key), Run(n.into())) {
+        match store.admit(Time(n.into()), &asked(0, &key), RunId(n.into())) {
             Admission::New => began.push(key),
             Admission::Full(wait) => {
                 assert!(wait.0 > 0);
@@ -38,77 +44,91 @@
         }
         if n % 3 == 0 {
             let key = began[began.len() - 1];
-            store.settle(Time(n.into()), Member(0), 0, &key, Fate::Served("r".into()));
+            store.resolve(Time(n.into()), Member(0), 0, &key, Resolution::Served("r".into()));
         }
     }
     assert_eq!((began.len(), refused), (100, 900));
     assert_eq!(store.counts().member_full + store.counts().full, 900);
     for key in &began {
-        let again = store.ask(Time(1000), &asked(0, key), Run(9999));
-        assert!(matches!(again, Admission::Join(_) | Admission::HandBack(_)), "{again:?}");
+        let again = store.admit(Time(1000), &asked(0, key), RunId(9999));
+        assert!(matches!(again, Admission::Join(_) | Admission::Replay(_)), "{again:?}");
     }
     // Once windows have ended the oldest go and newcomers come in.
-    assert_eq!(store.ask(Time(WINDOW + 1000), &asked(0, b"new"), Run(1)), Admission::New);
+    assert_eq!(store.admit(Time(WINDOW + 1000), &asked(0, b"new"), RunId(1)), Admission::New);
 }
 
 #[test]
 fn a_full_store_says_when_its_oldest_key_may_go() {
     let mut store = store(1, 1);
-    assert_eq!(store.ask(Time(0), &asked(0, b"a"), Run(1)), Admission::New);
+    assert_eq!(store.admit(Time(0), &asked(0, b"a"), RunId(1)), Admission::New);
     // Nothing settled: nobody knows when.
-    assert_eq!(store.ask(Time(5), &asked(0, b"b"), Run(2)), Admission::Full(Span(250)));
-    store.settle(Time(10), Member(0), 0, b"a", Fate::Served("r".into()));
-    assert_eq!(store.ask(Time(20), &asked(0, b"b"), Run(2)), Admission::Full(Span(WINDOW - 10)));
-    assert_eq!(store.ask(Time(WINDOW + 10), &asked(0, b"b"), Run(2)), Admission::New);
+    assert_eq!(store.admit(Time(5), &asked(0, b"b"), RunId(2)), Admission::Full(Span(250)));
+    store.resolve(Time(10), Member(0), 0, b"a", Resolution::Served("r".into()));
+    assert_eq!(store.admit(Time(20), &asked(0, b"b"), RunId(2)), Admission::Full(Span(WINDOW - 10)));
+    assert_eq!(store.admit(Time(WINDOW + 10), &asked(0, b"b"), RunId(2)), Admission::New);
 }
 
 #[test]
 fn one_member_that_floods_leaves_room_to_the_others() {
     let mut store = store(100, 60);
     let flood = (0..1000u32)
-        .filter(|n| store.ask(Time(0), &asked(7, &n.to_le_bytes()), Run((*n).into())) == Admission::New);
+        .filter(|n| store.admit(Time(0), &asked(7, &n.to_le_bytes()), RunId((*n).into())) == Admission::New);
     assert_eq!(flood.count(), 60);
     assert_eq!(store.counts().member_full, 940);
     let other = (0..40u32)
-        .filter(|n| store.ask(Time(0), &asked(8, &n.to_le_bytes()), Run((*n).into())) == Admission::New);
+        .filter(|n| store.admit(Time(0), &asked(8, &n.to_le_bytes()), RunId((*n).into())) == Admission::New);
     assert_eq!(other.count(), 40, "the same keys, and none is another's");
 }
 
 #[test]
 fn what_may_have_run_goes_to_its_hall_and_after_the_window_nowhere() {
     let mut store = store(10, 10);
-    store.ask(Time(0), &asked(0, b"k"), Run(1));
-    store.settle(Time(500), Member(0), 0, b"k", Fate::MayHaveRun(Sent::once(place(2), Time(100))));
-    let Admission::Again(sent) = store.ask(Time(600), &asked(0, b"k"), Run(2)) else { panic!() };
-    assert_eq!((sent.place, sent.first, sent.times), (place(2), Time(100), 1));
+    store.admit(Time(0), &asked(0, b"k"), RunId(1));
+    store.resolve(
+        Time(500),
+        Member(0),
+        0,
+        b"k",
+        Resolution::MayHaveRun(SentAttempts::single(place(2), Time(100))),
+    );
+    let Admission::Resend(sent) = store.admit(Time(600), &asked(0, b"k"), RunId(2)) else { panic!() };
+    assert_eq!((sent.place, sent.first_at, sent.count), (place(2), Time(100), 1));
     // The second try never ran; what the first may have done still binds.
-    store.settle(Time(700), Member(0), 0, b"k", Fate::NeverRan);
-    assert!(matches!(store.ask(Time(800), &asked(0, b"k"), Run(3)), Admission::Again(_)));
-    store.settle(Time(900), Member(0), 0, b"k", Fate::MayHaveRun(Sent::once(place(2), Time(850))));
+    store.resolve(Time(700), Member(0), 0, b"k", Resolution::NeverRan);
+    assert!(matches!(store.admit(Time(800), &asked(0, b"k"), RunId(3)), Admission::Resend(_)));
+    store.resolve(
+        Time(900),
+        Member(0),
+        0,
+        b"k",
+        Resolution::MayHaveRun(SentAttempts::single(place(2), Time(850))),
+    );
     // The window counts from the first sending, and ends while the key is still kept.
     let end = 100 + WINDOW;
-    assert!(matches!(store.ask(Time(end - 1), &asked(0, b"k"), Run(4)), Admission::Again(s) if s.times == 2));
-    store.settle(Time(end - 1), Member(0), 0, b"k", Fate::NeverRan);
-    assert_eq!(store.ask(Time(end), &asked(0, b"k"), Run(5)), Admission::Spent);
-    assert_eq!(store.ask(Time(end - 1 + 3 * WINDOW), &asked(0, b"k"), Run(6)), Admission::New);
+    assert!(
+        matches!(store.admit(Time(end - 1), &asked(0, b"k"), RunId(4)), Admission::Resend(s) if s.count == 2)
+    );
+    store.resolve(Time(end - 1), Member(0), 0, b"k", Resolution::NeverRan);
+    assert_eq!(store.admit(Time(end), &asked(0, b"k"), RunId(5)), Admission::NotRepeatable);
+    assert_eq!(store.admit(Time(end - 1 + 3 * WINDOW), &asked(0, b"k"), RunId(6)), Admission::New);
 }
 
 #[test]
 fn sendings_to_two_places_leave_no_place_for_a_repeat() {
-    let both = Sent::once(place(1), Time(5)).and(Sent::once(place(2), Time(6)));
-    assert_eq!((both.place, both.first, both.last, both.times), (None, Time(5), Time(6), 2));
+    let both = SentAttempts::single(place(1), Time(5)).merge(SentAttempts::single(place(2), Time(6)));
+    assert_eq!((both.place, both.first_at, both.last_at, both.count), (None, Time(5), Time(6), 2));
     let mut store = store(10, 10);
-    store.ask(Time(0), &asked(0, b"k"), Run(1));
-    store.settle(Time(7), Member(0), 0, b"k", Fate::MayHaveRun(both));
-    assert_eq!(store.ask(Time(8), &asked(0, b"k"), Run(2)), Admission::Spent);
+    store.admit(Time(0), &asked(0, b"k"), RunId(1));
+    store.resolve(Time(7), Member(0), 0, b"k", Resolution::MayHaveRun(both));
+    assert_eq!(store.admit(Time(8), &asked(0, b"k"), RunId(2)), Admission::NotRepeatable);
 }
 
 #[test]
 fn a_result_that_is_too_large_is_not_kept_and_its_key_is() {
     let mut store = store(10, 10);
-    store.ask(Time(0), &asked(0, b"k"), Run(1));
-    store.settle(Time(1), Member(0), 0, b"k", Fate::Served(vec![0; (1 << 16) + 1].into()));
-    assert_eq!(store.ask(Time(2), &asked(0, b"k"), Run(2)), Admission::NotKept);
+    store.admit(Time(0), &asked(0, b"k"), RunId(1));
+    store.resolve(Time(1), Member(0), 0, b"k", Resolution::Served(vec![0; (1 << 16) + 1].into()));
+    assert_eq!(store.admit(Time(2), &asked(0, b"k"), RunId(2)), Admission::ResultNotStored);
     assert_eq!(store.counts().results_dropped, 1);
 }
 
@@ -118,34 +138,40 @@
     let long = vec![b'x'; 1 << 16];
     let keys: [&[u8]; 5] = [b"\0", b"\0\0", &[0xff, 0xfe, b'\r', b'\n'], "\u{1f9fa}".as_bytes(), &long];
     for (n, key) in keys.iter().enumerate() {
-        assert_eq!(store.ask(Time(0), &asked(0, key), Run(n as u64)), Admission::New);
+        assert_eq!(store.admit(Time(0), &asked(0, key), RunId(n as u64)), Admission::New);
     }
     for (n, key) in keys.iter().enumerate() {
-        assert_eq!(store.ask(Time(0), &asked(0, key), Run(99)), Admission::Join(Run(n as u64)));
+        assert_eq!(store.admit(Time(0), &asked(0, key), RunId(99)), Admission::Join(RunId(n as u64)));
     }
-    assert_eq!(store.ask(Time(0), &asked(0, b""), Run(9)), Admission::BadKey);
-    assert_eq!(store.ask(Time(0), &asked(0, &vec![0; (1 << 16) + 1]), Run(9)), Admission::BadKey);
+    assert_eq!(store.admit(Time(0), &asked(0, b""), RunId(9)), Admission::InvalidKey);
+    assert_eq!(store.admit(Time(0), &asked(0, &vec![0; (1 << 16) + 1]), RunId(9)), Admission::InvalidKey);
 }
 
 /// Served, may have run, and under way with and without a sending.
 fn filled() -> Store {
     let mut store = store(10, 10);
     for (n, key) in [&b"served"[..], b"unsure", b"out", b"held"].into_iter().enumerate() {
-        assert_eq!(store.ask(Time(100), &asked(0, key), Run(n as u64)), Admission::New);
+        assert_eq!(store.admit(Time(100), &asked(0, key), RunId(n as u64)), Admission::New);
     }
-    store.settle(Time(200), Member(0), 0, b"served", Fate::Served("result".into()));
-    store.settle(Time(300), Member(0), 0, b"unsure", Fate::MayHaveRun(Sent::once(place(1), Time(150))));
+    store.resolve(Time(200), Member(0), 0, b"served", Resolution::Served("result".into()));
+    store.resolve(
+        Time(300),
+        Member(0),
+        0,
+        b"unsure",
+        Resolution::MayHaveRun(SentAttempts::single(place(1), Time(150))),
+    );
     store
 }
 
 fn snapshot() -> Snapshot {
-    let out = |run| (run == Run(2)).then(|| Sent::once(place(0), Time(350)));
+    let out = |run| (run == RunId(2)).then(|| SentAttempts::single(place(0), Time(350)));
     let names = Names {
         members: vec!["mehran".into()],
         classes: vec!["wave".into()],
         zones: vec!["a".into(), "b".into(), "c".into()],
     };
-    Snapshot { made: Time(400), last: false, names, records: filled().records(Time(400), out) }
+    Snapshot { taken_at: Time(400), clean_shutdown: false, names, records: filled().records(Time(400), out) }
 }
 
 #[test]
@@ -157,21 +183,25 @@
     let records = read.renumbered(|_| Some(0), |_| Some(0), zone);
     let mut store = store(10, 10);
     assert_eq!(store.restore(Time(500), records.clone()), 4);
-    assert_eq!(store.ask(Time(600), &asked(0, b"served"), Run(1)), Admission::HandBack("result".into()));
-    let Admission::Again(sent) = store.ask(Time(600), &asked(0, b"unsure"), Run(2)) else { panic!() };
+    assert_eq!(store.admit(Time(600), &asked(0, b"served"), RunId(1)), Admission::Replay("result".into()));
+    let Admission::Resend(sent) = store.admit(Time(600), &asked(0, b"unsure"), RunId(2)) else { panic!() };
     assert_eq!(sent.place, place(6));
-    let Admission::Again(sent) = store.ask(Time(600), &asked(0, b"out"), Run(3)) else { panic!() };
+    let Admission::Resend(sent) = store.admit(Time(600), &asked(0, b"out"), RunId(3)) else { panic!() };
     assert_eq!(sent.place, place(5));
-    assert_eq!(store.ask(Time(600), &asked(0, b"held"), Run(4)), Admission::Spent, "sent who knows where");
+    assert_eq!(
+        store.admit(Time(600), &asked(0, b"held"), RunId(4)),
+        Admission::NotRepeatable,
+        "sent who knows where"
+    );
     // Windows go on from where they were, not from the restart.
     let mut late = self::store(10, 10);
     late.restore(Time(200 + WINDOW), records.clone());
-    assert_eq!(late.ask(Time(200 + WINDOW), &asked(0, b"served"), Run(1)), Admission::New);
-    assert_eq!(late.ask(Time(200 + WINDOW), &asked(0, b"unsure"), Run(1)), Admission::Spent);
+    assert_eq!(late.admit(Time(200 + WINDOW), &asked(0, b"served"), RunId(1)), Admission::New);
+    assert_eq!(late.admit(Time(200 + WINDOW), &asked(0, b"unsure"), RunId(1)), Admission::NotRepeatable);
     // A clock that was set back does not make them last for ever.
     let mut back = self::store(10, 10);
     back.restore(Time(50), records);
-    assert_eq!(back.ask(Time(50 + WINDOW), &asked(0, b"served"), Run(1)), Admission::New);
+    assert_eq!(back.admit(Time(50 + WINDOW), &asked(0, b"served"), RunId(1)), Admission::New);
 }
 
 #[test]
@@ -179,10 +209,10 @@
     let mut small = store(2, 10);
     assert_eq!(small.restore(Time(500), snapshot().records), 2);
     assert_eq!(
-        small.ask(Time(500), &asked(0, b"out"), Run(1)),
-        Admission::Again(Sent::once(place(0), Time(350)))
+        small.admit(Time(500), &asked(0, b"out"), RunId(1)),
+        Admission::Resend(SentAttempts::single(place(0), Time(350)))
     );
-    assert_eq!(small.ask(Time(500), &asked(0, b"served"), Run(2)), Admission::Full(Span(WINDOW - 100)));
+    assert_eq!(small.admit(Time(500), &asked(0, b"served"), RunId(2)), Admission::Full(Span(WINDOW - 100)));
 }
 
 #[test]
@@ -210,10 +240,10 @@
 #[test]
 fn soon_after_a_start_a_marked_later_try_of_an_unknown_key_fails() {
     let mut store = store(10, 10);
-    store.doubt_until(0, Time(WINDOW));
-    let retry = |key| Asked { retry: true, ..asked(0, key) };
-    assert_eq!(store.ask(Time(1), &retry(b"k"), Run(1)), Admission::Unknown);
-    assert_eq!(store.ask(Time(1), &asked(0, b"l"), Run(1)), Admission::New);
-    assert_eq!(store.ask(Time(2), &retry(b"l"), Run(2)), Admission::Join(Run(1)));
-    assert_eq!(store.ask(Time(WINDOW), &retry(b"k"), Run(3)), Admission::New);
+    store.reject_unknown_retries_until(0, Time(WINDOW));
+    let retry = |key| KeyedRequest { retry: true, ..asked(0, key) };
+    assert_eq!(store.admit(Time(1), &retry(b"k"), RunId(1)), Admission::UnknownRetry);
+    assert_eq!(store.admit(Time(1), &asked(0, b"l"), RunId(1)), Admission::New);
+    assert_eq!(store.admit(Time(2), &retry(b"l"), RunId(2)), Admission::Join(RunId(1)));
+    assert_eq!(store.admit(Time(WINDOW), &retry(b"k"), RunId(3)), Admission::New);
 }
--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -5,7 +5,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sablerun::{Span, Time};
-use sablerun_keys::{Admission, Asked, Bounds, Fate, Fingerprint, Member, Place, Rule, Run, Sent, Store};
+use sablerun_keys::{
+    Admission, Bounds, Fingerprint, KeyedRequest, Member, Place, Resolution, Retention, RunId, SentAttempts,
+    Store,
+};
 
 const WINDOW: [u64; 2] = [100, 40];
 const KEEP: [u64; 2] = [250, 40];
@@ -37,9 +40,9 @@
 
 #[derive(Clone)]
 enum State {
-    UnderWay { run: u64, earlier: Option<Sent> },
+    UnderWay { run: u64, earlier: Option<SentAttempts> },
     Served { at: u64, result: Option<Bytes> },
-    MayHaveRun { at: u64, sent: Sent },
+    MayHaveRun { at: u64, sent: SentAttempts },
 }
 
 #[derive(Clone)]
@@ -89,18 +92,18 @@
 
 impl World {
     fn new() -> World {
-        let rule = |n: usize| Rule { window: Span(WINDOW[n]), keep: Span(KEEP[n]) };
+        let rule = |n: usize| Retention { window: Span(WINDOW[n]), uncertain_ttl: Span(KEEP[n]) };
         let bounds = Bounds {
-            entries: ENTRIES,
-            bytes: BYTES,
-            result: RESULT,
-            key: KEY,
-            member: OF_MEMBER,
+            max_entries: ENTRIES,
+            max_bytes: BYTES,
+            max_result_bytes: RESULT,
+            max_key_bytes: KEY,
+            max_entries_per_member: OF_MEMBER,
             hold_off: Span(17),
         };
         let mut store = Store::new(bounds, vec![rule(0), rule(1)]);
-        store.doubt_until(0, Time(1100));
-        store.doubt_until(1, Time(1100));
+        store.reject_unknown_retries_until(0, Time(1100));
+        store.reject_unknown_retries_until(1, Time(1100));
         World { store, now: 1000, runs: 0, entries: Vec::new(), refused: 0 }
     }
 
@@ -109,14 +112,14 @@
             Step::Ask { member, class, key: number, print, retry } => {
                 let key = key(number);
                 self.runs += 1;
-                let asked = Asked {
+                let asked = KeyedRequest {
                     member: Member(member),
                     class,
                     key: &key,
-                    print: Fingerprint([print; 16]),
+                    fingerprint: Fingerprint([print; 16]),
                     retry,
                 };
-                let got = self.store.ask(Time(self.now), &asked, Run(self.runs));
+                let got = self.store.admit(Time(self.now), &asked, RunId(self.runs));
                 self.check_ask(&asked, print, got);
             }
             Step::Settle { of, fate, size } => self.settle(|n| of.index(n), fate, size),
@@ -130,10 +133,10 @@
         assert!(self.store.len() <= ENTRIES && self.store.bytes() <= BYTES, "over its bounds");
     }
 
-    fn check_ask(&mut self, asked: &Asked, print: u8, got: Admission) {
+    fn check_ask(&mut self, asked: &KeyedRequest, print: u8, got: Admission) {
         let now = self.now;
         if asked.key.is_empty() || asked.key.len() > KEY {
-            assert_eq!(got, Admission::BadKey);
+            assert_eq!(got, Admission::InvalidKey);
             return;
         }
         let same = |e: &Entry| (e.member, e.class, &*e.key) == (asked.member.0, asked.class, asked.key);
@@ -147,23 +150,23 @@
         };
         if let Some(at) = at {
             let (droppable, entry) = (!self.entries[at].in_window(now), &mut self.entries[at]);
-            if droppable && matches!(got, Admission::New | Admission::Full(_) | Admission::Unknown) {
+            if droppable && matches!(got, Admission::New | Admission::Full(_) | Admission::UnknownRetry) {
                 // It was dropped for want of room, which only a key outside its window may be.
                 self.entries.remove(at);
                 return self.check_new(asked.retry, new, got);
             }
             let expected = match &entry.state {
                 _ if entry.print != print => Admission::Conflict,
-                State::UnderWay { run, .. } => Admission::Join(Run(*run)),
-                State::Served { result: Some(result), .. } => Admission::HandBack(result.clone()),
-                State::Served { result: None, .. } => Admission::NotKept,
+                State::UnderWay { run, .. } => Admission::Join(RunId(*run)),
+                State::Served { result: Some(result), .. } => Admission::Replay(result.clone()),
+                State::Served { result: None, .. } => Admission::ResultNotStored,
                 State::MayHaveRun { sent, .. } => {
-                    if sent.place.is_some() && now < sent.first.0 + WINDOW[entry.class as usize] {
+                    if sent.place.is_some() && now < sent.first_at.0 + WINDOW[entry.class as usize] {
                         let sent = *sent;
                         entry.state = State::UnderWay { run: self.runs, earlier: Some(sent) };
-                        Admission::Again(sent)
+                        Admission::Resend(sent)
                     } else {
-                        Admission::Spent
+                        Admission::NotRepeatable
                     }
                 }
             };
@@ -177,7 +180,7 @@
     fn check_new(&mut self, retry: bool, new: Entry, got: Admission) {
         let now = self.now;
         if retry && now < 1100 {
-            assert_eq!(got, Admission::Unknown);
+            assert_eq!(got, Admission::UnknownRetry);
             return;
         }
         let live = |e: &&Entry| e.in_window(now);
@@ -214,27 +217,27 @@
         let entry = &mut self.entries[at];
         let State::UnderWay { earlier, .. } = entry.state else { unreachable!("filtered above") };
         let place = Some(Place { zone: u32::from(fate), cell: 0 });
-        let sent = Sent::once(if fate == 3 { None } else { place }, Time(now.saturating_sub(30)));
+        let sent = SentAttempts::single(if fate == 3 { None } else { place }, Time(now.saturating_sub(30)));
         let told = match fate {
-            0 | 1 => Fate::Served(vec![fate; size].into()),
-            2 | 3 => Fate::MayHaveRun(sent),
-            _ => Fate::NeverRan,
+            0 | 1 => Resolution::Served(vec![fate; size].into()),
+            2 | 3 => Resolution::MayHaveRun(sent),
+            _ => Resolution::NeverRan,
         };
         let (member, class, key) = (Member(entry.member), entry.class, entry.key.clone());
         let before = self.store.counts().results_dropped;
-        self.store.settle(Time(now), member, class, &key, told.clone());
+        self.store.resolve(Time(now), member, class, &key, told.clone());
         let dropped = self.store.counts().results_dropped > before;
         match (told, earlier) {
-            (Fate::Served(result), _) => {
+            (Resolution::Served(result), _) => {
                 assert!(dropped || result.len() <= RESULT);
                 entry.state = State::Served { at: now, result: (!dropped).then_some(result) };
             }
-            (Fate::MayHaveRun(sent), earlier) => {
-                let sent = earlier.map_or(sent, |earlier| earlier.and(sent));
+            (Resolution::MayHaveRun(sent), earlier) => {
+                let sent = earlier.map_or(sent, |earlier| earlier.merge(sent));
                 entry.state = State::MayHaveRun { at: now, sent };
             }
-            (Fate::NeverRan, Some(sent)) => entry.state = State::MayHaveRun { at: now, sent },
-            (Fate::NeverRan, None) => {
+            (Resolution::NeverRan, Some(sent)) => entry.state = State::MayHaveRun { at: now, sent },
+            (Resolution::NeverRan, None) => {
                 self.entries.remove(at);
             }
         }
--- a/ledger/src/job.rs
+++ b/ledger/src/job.rs
@@ -23,38 +23,40 @@
     /// It waits: not before `at`, for its schedule or after a failure.
     Waiting {
         /// From then on it may be leased.
-        at: Time,
+        due_at: Time,
     },
     /// A worker has it under the job's epoch.
     Leased {
         /// Without a beat the lease ends then.
-        until: Time,
+        expires_at: Time,
     },
     /// Done, with this result.
     Completed {
         /// When.
-        at: Time,
+        finished_at: Time,
         /// What the worker made.
         result: Bytes,
     },
     /// Out of tries.
     Dead {
         /// When.
-        at: Time,
+        finished_at: Time,
     },
     /// Wanted no more.
     Cancelled {
         /// When.
-        at: Time,
+        finished_at: Time,
     },
 }
 
 impl State {
     /// When it came to its end, if it has.
-    pub fn settled(&self) -> Option<Time> {
+    pub fn finished_at(&self) -> Option<Time> {
         match self {
             State::Waiting { .. } | State::Leased { .. } => None,
-            State::Completed { at, .. } | State::Dead { at } | State::Cancelled { at } => Some(*at),
+            State::Completed { finished_at: at, .. }
+            | State::Dead { finished_at: at }
+            | State::Cancelled { finished_at: at } => Some(*at),
         }
     }
 }
@@ -73,17 +75,17 @@
     /// What is to be run.
     pub body: Bytes,
     /// When it was taken.
-    pub accepted: Time,
+    pub accepted_at: Time,
     /// How long a worker may be silent.
     pub lease: Span,
     /// Tries it may have.
-    pub most: u32,
+    pub max_attempts: u32,
     /// Tries it has had: leases that did not end by being returned unrun.
-    pub tries: u32,
+    pub attempts: u32,
     /// The epoch of its last lease; zero before the first.
     pub epoch: Epoch,
     /// What the last failure said.
-    pub error: Option<String>,
+    pub last_error: Option<String>,
     /// Where it stands.
     pub state: State,
 }
@@ -94,7 +96,7 @@
     /// The job as it stands now.
     Put(Job),
     /// The job is forgotten.
-    Drop(JobId),
+    Delete(JobId),
 }
 
 /// Why bytes are no job.
@@ -145,26 +147,26 @@
     /// The job as bytes, without its number, which the store keeps beside them.
     pub fn encode(&self) -> Vec<u8> {
         let state = match &self.state {
-            State::Waiting { at } => (0, at.0, Vec::new()),
-            State::Leased { until } => (1, until.0, Vec::new()),
-            State::Completed { at, result } => (2, at.0, result.to_vec()),
-            State::Dead { at } => (3, at.0, Vec::new()),
-            State::Cancelled { at } => (4, at.0, Vec::new()),
+            State::Waiting { due_at: at } => (0, at.0, Vec::new()),
+            State::Leased { expires_at: until } => (1, until.0, Vec::new()),
+            State::Completed { finished_at: at, result } => (2, at.0, result.to_vec()),
+            State::Dead { finished_at: at } => (3, at.0, Vec::new()),
+            State::Cancelled { finished_at: at } => (4, at.0, Vec::new()),
         };
         let first = First {
             member: self.member,
             class: self.class,
             key: self.key.as_ref().map(|key| key.to_vec()),
             body: self.body.to_vec(),
-            accepted: self.accepted.0,
+            accepted: self.accepted_at.0,
             lease: self.lease.0,
-            most: self.most,
-            tries: self.tries,
+            most: self.max_attempts,
+            tries: self.attempts,
             epoch: self.epoch.0,
             state,
         };
         let mut bytes = FORMAT.to_le_bytes().to_vec();
-        let payload = postcard::to_stdvec(&Second { first, error: self.error.clone() });
+        let payload = postcard::to_stdvec(&Second { first, error: self.last_error.clone() });
         bytes.extend(payload.expect("plain data into memory"));
         bytes
     }
@@ -186,11 +188,11 @@
         let (kind, time, result) = first.state;
         let at = Time(time);
         let state = match kind {
-            0 => State::Waiting { at },
-            1 => State::Leased { until: at },
-            2 => State::Completed { at, result: result.into() },
-            3 => State::Dead { at },
-            4 => State::Cancelled { at },
+            0 => State::Waiting { due_at: at },
+            1 => State::Leased { expires_at: at },
+            2 => State::Completed { finished_at: at, result: result.into() },
+            3 => State::Dead { finished_at: at },
+            4 => State::Cancelled { finished_at: at },
             other => return Err(RecordError::Damaged(format!("state {other}"))),
         };
         Ok(Job {
@@ -199,12 +201,12 @@
             class: first.class,
             key: first.key.map(Bytes::from),
             body: first.body.into(),
-            accepted: Time(first.accepted),
+            accepted_at: Time(first.accepted),
             lease: Span(first.lease),
-            most: first.most,
-            tries: first.tries,
+            max_attempts: first.most,
+            attempts: first.tries,
             epoch: Epoch(first.epoch),
-            error,
+            last_error: error,
             state,
         })
     }
@@ -227,13 +229,13 @@
         class: 2,
         key: None,
         body: Bytes::from_static(b"body"),
-        accepted: Time(4),
+        accepted_at: Time(4),
         lease: Span(5),
-        most: 6,
-        tries: 1,
+        max_attempts: 6,
+        attempts: 1,
         epoch: Epoch(7),
-        error: None,
-        state: State::Completed { at: Time(8), result: Bytes::from_static(b"made") },
+        last_error: None,
+        state: State::Completed { finished_at: Time(8), result: Bytes::from_static(b"made") },
     };
     let first = First {
         member: 1,
--- a/ledger/src/ledger.rs
+++ b/ledger/src/ledger.rs
@@ -6,7 +6,7 @@
 //! fills the queue waits behind itself. Times (schedules, backoff, leases, forgetting) stand in one ordered
 //! set; an entry whose job has moved on is passed over when it is due.
 
-use crate::{Change, Counts, Effect, Epoch, Input, Job, JobId, Refusal, Rules, State, Submission};
+use crate::{Change, Counts, Effect, Epoch, Input, Job, JobId, LedgerConfig, Refusal, State, Submission};
 use bytes::Bytes;
 use sablerun::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -19,26 +19,26 @@
     /// To be made durable together.
     pub changes: Vec<Change>,
     /// To be done afterwards.
-    pub then: Vec<Effect>,
+    pub effects: Vec<Effect>,
 }
 
 /// Why stored jobs are no ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadError {
     /// Two jobs under one key.
-    KeyTwice(JobId, JobId),
+    DuplicateKey(JobId, JobId),
     /// A job of a number that was used already.
-    Number(JobId),
+    DuplicateId(JobId),
     /// A job in a state that its other fields deny.
-    Senseless(JobId, &'static str),
+    Inconsistent(JobId, &'static str),
 }
 
 impl fmt::Display for LoadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LoadError::KeyTwice(a, b) => write!(f, "jobs {} and {} have one key", a.0, b.0),
-            LoadError::Number(id) => write!(f, "job {} stands twice", id.0),
-            LoadError::Senseless(id, why) => write!(f, "job {}: {why}", id.0),
+            LoadError::DuplicateKey(a, b) => write!(f, "jobs {} and {} have one key", a.0, b.0),
+            LoadError::DuplicateId(id) => write!(f, "job {} stands twice", id.0),
+            LoadError::Inconsistent(id, why) => write!(f, "job {}: {why}", id.0),
         }
     }
 }
@@ -52,7 +52,7 @@
 
 /// The ledger.
 pub struct Ledger {
-    rules: Rules,
+    rules: LedgerConfig,
     random: fastrand::Rng,
     next: u64,
     jobs: HashMap<JobId, Job>,
@@ -74,7 +74,7 @@
 
 impl Ledger {
     /// An empty ledger.
-    pub fn new(rules: Rules, seed: u64) -> Ledger {
+    pub fn new(rules: LedgerConfig, seed: u64) -> Ledger {
         Ledger {
             rules,
             random: fastrand::Rng::with_seed(seed),
@@ -101,7 +101,13 @@
     /// # Errors
     ///
     /// Says which jobs can't all be true; none is used then.
-    pub fn load(rules: Rules, seed: u64, now: Time, next: u64, jobs: Vec<Job>) -> Result<Ledger, LoadError> {
+    pub fn load(
+        rules: LedgerConfig,
+        seed: u64,
+        now: Time,
+        next: u64,
+        jobs: Vec<Job>,
+    ) -> Result<Ledger, LoadError> {
         let mut ledger = Ledger::new(rules, seed);
         ledger.allowance.1 = now;
         ledger.next = next.max(1);
@@ -110,26 +116,26 @@
         for mut job in jobs {
             let id = job.id;
             if matches!(job.state, State::Leased { .. }) && job.epoch == Epoch(0) {
-                return Err(LoadError::Senseless(id, "leased, but never given an epoch"));
+                return Err(LoadError::Inconsistent(id, "leased, but never given an epoch"));
             }
             // Clocks jump between two processes: nothing lasts longer than it would from now on.
             match &mut job.state {
-                State::Leased { until } => {
+                State::Leased { expires_at: until } => {
                     *until = (*until).min(now + job.lease);
                     ledger.lost.insert(id);
                 }
-                State::Completed { at, .. } | State::Dead { at } | State::Cancelled { at } => {
-                    *at = (*at).min(now)
-                }
+                State::Completed { finished_at: at, .. }
+                | State::Dead { finished_at: at }
+                | State::Cancelled { finished_at: at } => *at = (*at).min(now),
                 State::Waiting { .. } => {}
             }
             ledger.next = ledger.next.max(id.0 + 1);
             if let Some(key) = key_of(&job)
                 && let Some(other) = ledger.keys.insert(key, id)
             {
-                return Err(LoadError::KeyTwice(other, id));
+                return Err(LoadError::DuplicateKey(other, id));
             }
-            if job.state.settled().is_none() {
+            if job.state.finished_at().is_none() {
                 *ledger.open.entry(job.member).or_default() += 1;
                 ledger.all_open += 1;
             }
@@ -141,7 +147,7 @@
                 ledger.times.insert((time, id));
             }
             if ledger.jobs.insert(id, job).is_some() {
-                return Err(LoadError::Number(id));
+                return Err(LoadError::DuplicateId(id));
             }
         }
         Ok(ledger)
@@ -153,7 +159,7 @@
     }
 
     /// The job under a client's key.
-    pub fn under(&self, member: u32, class: u32, key: &Bytes) -> Option<JobId> {
+    pub fn id_by_key(&self, member: u32, class: u32, key: &Bytes) -> Option<JobId> {
         self.keys.get(&(member, class, key.clone())).copied()
     }
 
@@ -163,7 +169,7 @@
     }
 
     /// Jobs leased now.
-    pub fn leased(&self) -> usize {
+    pub fn lease_count(&self) -> usize {
         self.leased
     }
 
@@ -173,10 +179,10 @@
     }
 
     /// When [`Input::Due`] is next wanted.
-    pub fn due(&self, now: Time) -> Option<Time> {
-        let held = self.turns.front().is_some() && self.leased < self.rules.leased;
+    pub fn next_due(&self, now: Time) -> Option<Time> {
+        let held = self.turns.front().is_some() && self.leased < self.rules.max_leases;
         // Only jobs that wait for the allowance of recovery stand in line while there are leases to give.
-        let recovery = held.then(|| now + Span::from_secs(1.0 / self.rules.recover_per_s.max(1e-3)));
+        let recovery = held.then(|| now + Span::from_secs(1.0 / self.rules.recoveries_per_s.max(1e-3)));
         let time = self.times.first().map(|(at, _)| *at);
         [recovery, time].into_iter().flatten().min()
     }
@@ -189,15 +195,15 @@
             Input::Beat(id, epoch) => {
                 if let Some(job) = self.holder(id, epoch, &mut step) {
                     // Not written: after a restart a lease holds for its length anyway.
-                    let until = now + job.lease;
+                    let expires_at = now + job.lease;
                     self.lost.remove(&id);
-                    self.retime(id, State::Leased { until });
+                    self.retime(id, State::Leased { expires_at });
                 }
             }
             Input::Completed(id, epoch, result) => {
                 if self.holder(id, epoch, &mut step).is_some() {
                     self.counts.completed += 1;
-                    self.settle(id, State::Completed { at: now, result }, &mut step);
+                    self.settle(id, State::Completed { finished_at: now, result }, &mut step);
                 }
             }
             Input::Failed(id, epoch, error) => {
@@ -208,13 +214,13 @@
             }
             Input::Returned(id, epoch, wait) => {
                 if let Some(job) = self.holder(id, epoch, &mut step) {
-                    let tries = job.tries.saturating_sub(1);
-                    self.jobs.entry(id).and_modify(|job| job.tries = tries);
+                    let tries = job.attempts.saturating_sub(1);
+                    self.jobs.entry(id).and_modify(|job| job.attempts = tries);
                     self.wait(now, id, now + wait, &mut step);
                 }
             }
             Input::Cancel(id) => self.cancel(now, id, &mut step),
-            Input::Revive(id) => self.revive(now, id, &mut step),
+            Input::RetryDead(id) => self.revive(now, id, &mut step),
             Input::Due => {}
         }
         self.run_times(now, &mut step);
@@ -227,23 +233,24 @@
         let key = submission.key.clone().map(|key| (submission.member, submission.class, key));
         if let Some(&id) = key.as_ref().and_then(|key| self.keys.get(key)) {
             if self.jobs.get(&id).is_some_and(|job| job.body == submission.body) {
-                self.counts.same += 1;
-                step.then.push(Effect::Same(ticket, id));
+                self.counts.duplicates += 1;
+                step.effects.push(Effect::Duplicate(ticket, id));
             } else {
                 self.counts.refused += 1;
-                step.then.push(Effect::Refused(ticket, Refusal::Conflict(id)));
+                step.effects.push(Effect::Refused(ticket, Refusal::Conflict(id)));
             }
             return;
         }
         if let Some(refusal) = self.refusal(&submission) {
             self.counts.refused += 1;
-            step.then.push(Effect::Refused(ticket, refusal));
+            step.effects.push(Effect::Refused(ticket, refusal));
             return;
         }
         let id = JobId(self.next);
         self.next += 1;
-        let Submission { member, class, key: own, body, at, lease, tries, .. } = submission;
-        let state = State::Waiting { at: at.unwrap_or(now).max(now) };
+        let Submission { member, class, key: own, body, not_before: at, lease, max_attempts: tries, .. } =
+            submission;
+        let state = State::Waiting { due_at: at.unwrap_or(now).max(now) };
         let (accepted, epoch, error) = (now, Epoch(0), None);
         let job = Job {
             id,
@@ -251,12 +258,12 @@
             class,
             key: own,
             body,
-            accepted,
+            accepted_at: accepted,
             lease,
-            most: tries,
-            tries: 0,
+            max_attempts: tries,
+            attempts: 0,
             epoch,
-            error,
+            last_error: error,
             state,
         };
         if let Some(key) = key {
@@ -266,23 +273,23 @@
         *self.open.entry(member).or_default() += 1;
         self.all_open += 1;
         step.changes.push(Change::Put(job.clone()));
-        step.then.push(Effect::Accepted(ticket, id));
+        step.effects.push(Effect::Accepted(ticket, id));
         self.times.insert((self.time(&job.state), id));
         self.jobs.insert(id, job);
     }
 
     fn refusal(&self, submission: &Submission) -> Option<Refusal> {
-        let [least, most] = self.rules.lease;
+        let [least, most] = self.rules.lease_range;
         let open = self.open.get(&submission.member).copied().unwrap_or(0);
-        if submission.body.len() > self.rules.body {
-            Some(Refusal::TooLarge(self.rules.body))
-        } else if submission.tries == 0 {
-            Some(Refusal::Senseless("tries: at least one"))
+        if submission.body.len() > self.rules.max_body_bytes {
+            Some(Refusal::TooLarge(self.rules.max_body_bytes))
+        } else if submission.max_attempts == 0 {
+            Some(Refusal::Invalid("tries: at least one"))
         } else if submission.lease < least || submission.lease > most {
-            Some(Refusal::Senseless("lease: too short or too long"))
-        } else if open >= self.rules.member {
+            Some(Refusal::Invalid("lease: too short or too long"))
+        } else if open >= self.rules.max_jobs_per_member {
             Some(Refusal::MemberFull(self.rules.hold_off))
-        } else if self.all_open >= self.rules.jobs {
+        } else if self.all_open >= self.rules.max_jobs {
             Some(Refusal::Full(self.rules.hold_off))
         } else {
             None
@@ -295,7 +302,7 @@
         let job = self.jobs.get(&id).filter(holds);
         if job.is_none() {
             self.counts.stale += 1;
-            step.then.push(Effect::Stale(id, epoch));
+            step.effects.push(Effect::Stale(id, epoch));
         }
         job
     }
@@ -303,23 +310,23 @@
     /// A try is over without a result: another after a wait, or none.
     fn failed(&mut self, now: Time, id: JobId, error: String, step: &mut Step) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.error = Some(error);
-        if job.tries >= job.most {
+        job.last_error = Some(error);
+        if job.attempts >= job.max_attempts {
             self.counts.dead += 1;
-            self.settle(id, State::Dead { at: now }, step);
+            self.settle(id, State::Dead { finished_at: now }, step);
             return;
         }
         // Doubling, with full jitter: what failed together does not come back together.
-        let doublings = job.tries.saturating_sub(1).min(32);
-        let most =
-            (self.rules.backoff.secs() * f64::from(doublings).exp2()).min(self.rules.backoff_most.secs());
+        let doublings = job.attempts.saturating_sub(1).min(32);
+        let most = (self.rules.initial_backoff.secs() * f64::from(doublings).exp2())
+            .min(self.rules.max_backoff.secs());
         let wait = Span::from_secs(most * self.random.f64());
         self.wait(now, id, now + wait, step);
     }
 
     /// Puts a job back to wait.
     fn wait(&mut self, now: Time, id: JobId, at: Time, step: &mut Step) {
-        self.retime(id, State::Waiting { at: at.max(now) });
+        self.retime(id, State::Waiting { due_at: at.max(now) });
         step.changes.extend(self.jobs.get(&id).cloned().map(Change::Put));
     }
 
@@ -337,11 +344,11 @@
 
     fn time(&self, state: &State) -> Time {
         match state {
-            State::Waiting { at } => *at,
-            State::Leased { until } => *until,
-            State::Completed { at, .. } | State::Dead { at } | State::Cancelled { at } => {
-                *at + self.rules.remember
-            }
+            State::Waiting { due_at: at } => *at,
+            State::Leased { expires_at: until } => *until,
+            State::Completed { finished_at: at, .. }
+            | State::Dead { finished_at: at }
+            | State::Cancelled { finished_at: at } => *at + self.rules.retention,
         }
     }
 
@@ -358,16 +365,16 @@
         }
         self.all_open -= 1;
         step.changes.push(Change::Put(job.clone()));
-        step.then.push(Effect::Settled(id));
+        step.effects.push(Effect::Finished(id));
     }
 
     fn cancel(&mut self, now: Time, id: JobId, step: &mut Step) {
-        let Some(job) = self.jobs.get(&id).filter(|job| job.state.settled().is_none()) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|job| job.state.finished_at().is_none()) else { return };
         let (epoch, leased) = (job.epoch, matches!(job.state, State::Leased { .. }));
         self.counts.cancelled += 1;
-        self.settle(id, State::Cancelled { at: now }, step);
+        self.settle(id, State::Cancelled { finished_at: now }, step);
         if leased {
-            step.then.push(Effect::Stop(id, epoch));
+            step.effects.push(Effect::Stop(id, epoch));
         }
     }
 
@@ -375,7 +382,7 @@
         let Some(job) = self.jobs.get_mut(&id).filter(|job| matches!(job.state, State::Dead { .. })) else {
             return;
         };
-        job.tries = 0;
+        job.attempts = 0;
         *self.open.entry(job.member).or_default() += 1;
         self.all_open += 1;
         self.wait(now, id, now, step);
@@ -412,11 +419,11 @@
                 }
                 State::Leased { .. } => {
                     self.counts.expired += 1;
-                    step.then.push(Effect::Stop(id, job.epoch));
+                    step.effects.push(Effect::Stop(id, job.epoch));
                     if self.lost.contains(&id) {
                         // The process before took the beats with it: that is no failure of the job's.
-                        let tries = job.tries.saturating_sub(1);
-                        self.jobs.entry(id).and_modify(|job| job.tries = tries);
+                        let tries = job.attempts.saturating_sub(1);
+                        self.jobs.entry(id).and_modify(|job| job.attempts = tries);
                         self.wait(now, id, now, step);
                     } else {
                         self.failed(now, id, "the lease ran out without a beat".to_owned(), step);
@@ -428,7 +435,7 @@
                     {
                         self.keys.remove(&key);
                     }
-                    step.changes.push(Change::Drop(id));
+                    step.changes.push(Change::Delete(id));
                 }
             }
         }
@@ -437,10 +444,10 @@
     /// Gives leases while there are some to give, one line after the other.
     fn lease(&mut self, now: Time, step: &mut Step) {
         let (tokens, at) = self.allowance;
-        let most = self.rules.recover_per_s.max(1.0);
-        let mut tokens = (tokens + (now - at).secs() * self.rules.recover_per_s).min(most);
+        let most = self.rules.recoveries_per_s.max(1.0);
+        let mut tokens = (tokens + (now - at).secs() * self.rules.recoveries_per_s).min(most);
         let mut passed = 0;
-        while self.leased < self.rules.leased && passed < self.turns.len() {
+        while self.leased < self.rules.max_leases && passed < self.turns.len() {
             let Some(line) = self.turns.pop_front() else { break };
             let Some(jobs) = self.lines.get_mut(&line) else { continue };
             let Some(&id) = jobs.front() else { continue };
@@ -464,13 +471,13 @@
             passed = 0;
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.epoch = Epoch(job.epoch.0 + 1);
-            job.tries += 1;
-            let until = now + job.lease;
+            job.attempts += 1;
+            let expires_at = now + job.lease;
             self.counts.leases += 1;
-            self.retime(id, State::Leased { until });
+            self.retime(id, State::Leased { expires_at });
             let job = &self.jobs[&id];
             step.changes.push(Change::Put(job.clone()));
-            step.then.push(Effect::Run(id, job.epoch));
+            step.effects.push(Effect::Run(id, job.epoch));
         }
         self.allowance = (tokens, now);
     }
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -30,42 +30,42 @@
 
 /// What the ledger keeps to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct LedgerConfig {
     /// Jobs that may wait, be scheduled or run, in all.
-    pub jobs: usize,
+    pub max_jobs: usize,
     /// The same for one member.
-    pub member: usize,
+    pub max_jobs_per_member: usize,
     /// Largest body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Jobs leased at once.
-    pub leased: usize,
+    pub max_leases: usize,
     /// First wait before a failed job is tried again; it doubles with each try.
-    pub backoff: Span,
+    pub initial_backoff: Span,
     /// The longest such wait.
-    pub backoff_most: Span,
+    pub max_backoff: Span,
     /// Shortest and longest lease that a job may ask for.
-    pub lease: [Span; 2],
+    pub lease_range: [Span; 2],
     /// Leases a second that may be given to jobs whose lease was lost at a restart: cold workers are not
     /// to be flooded by what comes back all at once.
-    pub recover_per_s: f64,
+    pub recoveries_per_s: f64,
     /// How long a settled job is remembered: a repeat of its submission gets the same job.
-    pub remember: Span,
+    pub retention: Span,
     /// When to come back where a submission is refused.
     pub hold_off: Span,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules {
-            jobs: 1_000_000,
-            member: 500_000,
-            body: 64 * 1024,
-            leased: 256,
-            backoff: Span::from_secs(0.5),
-            backoff_most: Span::from_secs(300.0),
-            lease: [Span::from_secs(1.0), Span::from_secs(86_400.0)],
-            recover_per_s: 50.0,
-            remember: Span::from_secs(3600.0),
+impl Default for LedgerConfig {
+    fn default() -> LedgerConfig {
+        LedgerConfig {
+            max_jobs: 1_000_000,
+            max_jobs_per_member: 500_000,
+            max_body_bytes: 64 * 1024,
+            max_leases: 256,
+            initial_backoff: Span::from_secs(0.5),
+            max_backoff: Span::from_secs(300.0),
+            lease_range: [Span::from_secs(1.0), Span::from_secs(86_400.0)],
+            recoveries_per_s: 50.0,
+            retention: Span::from_secs(3600.0),
             hold_off: Span::from_secs(1.0),
         }
     }
@@ -85,11 +85,11 @@
     /// What is to be run.
     pub body: Bytes,
     /// Not before this, if it is for later.
-    pub at: Option<Time>,
+    pub not_before: Option<Time>,
     /// How long a worker may be silent.
     pub lease: Span,
     /// Tries in all, the first included.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 /// What has happened.
@@ -108,7 +108,7 @@
     /// A client or an operator wants it no more.
     Cancel(JobId),
     /// An operator wants a dead job tried again.
-    Revive(JobId),
+    RetryDead(JobId),
     /// Time has passed.
     Due,
 }
@@ -119,7 +119,7 @@
     /// The job is taken.
     Accepted(Ticket, JobId),
     /// It was taken before, under the same key.
-    Same(Ticket, JobId),
+    Duplicate(Ticket, JobId),
     /// It is not taken.
     Refused(Ticket, Refusal),
     /// Run it under this lease.
@@ -129,7 +129,7 @@
     /// A word came about a lease that does not hold.
     Stale(JobId, Epoch),
     /// The job has come to its end: completed, dead or cancelled.
-    Settled(JobId),
+    Finished(JobId),
 }
 
 /// Why a submission is not taken.
@@ -144,7 +144,7 @@
     /// The key stands for another job.
     Conflict(JobId),
     /// No tries, or a lease that is too short or too long.
-    Senseless(&'static str),
+    Invalid(&'static str),
 }
 
 /// What has been counted since the start.
@@ -153,7 +153,7 @@
     /// Jobs taken.
     pub accepted: u64,
     /// Repeats of a submission.
-    pub same: u64,
+    pub duplicates: u64,
     /// Submissions refused.
     pub refused: u64,
     /// Leases given.
--- a/ledger/tests/crashes.rs
+++ b/ledger/tests/crashes.rs
@@ -7,21 +7,21 @@
 use proptest::test_runner::RngSeed;
 use sablerun::{Span, Time};
 use sablerun_ledger::{
-    Change, Effect, Epoch, Input, Job, JobId, Ledger, Refusal, Rules, State, Step, Submission, Ticket,
+    Change, Effect, Epoch, Input, Job, JobId, Ledger, LedgerConfig, Refusal, State, Step, Submission, Ticket,
 };
 use std::collections::{HashMap, HashSet};
 
-fn rules() -> Rules {
-    Rules {
-        jobs: 12,
-        member: 8,
-        body: 100,
-        leased: 4,
-        backoff: Span(50),
-        backoff_most: Span(400),
-        lease: [Span(10), Span(1000)],
-        recover_per_s: 1e8,
-        remember: Span(300),
+fn rules() -> LedgerConfig {
+    LedgerConfig {
+        max_jobs: 12,
+        max_jobs_per_member: 8,
+        max_body_bytes: 100,
+        max_leases: 4,
+        initial_backoff: Span(50),
+        max_backoff: Span(400),
+        lease_range: [Span(10), Span(1000)],
+        recoveries_per_s: 1e8,
+        retention: Span(300),
         hold_off: Span(77),
     }
 }
@@ -107,7 +107,7 @@
     fn input(&mut self, input: Input) {
         let step = self.ledger.step(Time(self.now), input);
         self.pending.push(step);
-        assert!(self.ledger.leased() <= rules().leased, "more leases than there may be");
+        assert!(self.ledger.lease_count() <= rules().max_leases, "more leases than there may be");
     }
 
     fn commit(&mut self) {
@@ -123,21 +123,21 @@
                     assert_eq!(read, job);
                     if let Some(before) = self.disk.get(&job.id) {
                         assert!(job.epoch >= before.epoch, "an epoch went back");
-                        let ended = before.state.settled().is_some();
+                        let ended = before.state.finished_at().is_some();
                         assert!(!ended || self.revived.remove(&job.id), "a job that had ended was changed");
                     }
                     self.next = self.next.max(job.id.0 + 1);
                     self.disk.insert(job.id, job);
                 }
-                Change::Drop(id) => {
+                Change::Delete(id) => {
                     let dropped = self.disk.remove(&id).expect("it was there");
-                    assert!(dropped.state.settled().is_some(), "a job was forgotten before its end");
+                    assert!(dropped.state.finished_at().is_some(), "a job was forgotten before its end");
                     self.ended.remove(&id);
                     self.promised.remove(&id);
                 }
             }
         }
-        for effect in step.then {
+        for effect in step.effects {
             self.done(effect);
         }
     }
@@ -149,7 +149,7 @@
                 let before = self.promised.insert(id, vec![ticket]);
                 assert!(before.is_none() && self.told.insert(id), "one number for two jobs");
             }
-            Effect::Same(ticket, id) => {
+            Effect::Duplicate(ticket, id) => {
                 let tickets = self.promised.get_mut(&id);
                 tickets.expect("the same as one that was never taken").push(ticket);
             }
@@ -162,13 +162,13 @@
                 assert!(!self.ended.contains_key(&id), "run after its end");
                 let written = &self.disk[&id];
                 assert!(written.epoch >= epoch, "run under an epoch that is not on the disk");
-                assert!(written.tries <= written.most, "more tries than it may have");
+                assert!(written.attempts <= written.max_attempts, "more tries than it may have");
                 assert!(!self.runs.contains(&(id, epoch)), "an epoch given twice");
                 self.runs.push((id, epoch));
             }
-            Effect::Settled(id) => {
+            Effect::Finished(id) => {
                 let state = self.disk[&id].state.clone();
-                assert!(state.settled().is_some());
+                assert!(state.finished_at().is_some());
                 let before = self.ended.insert(id, state);
                 assert!(before.is_none(), "two ends of one job");
             }
@@ -182,7 +182,7 @@
         let jobs: Vec<_> = self.disk.values().cloned().collect();
         self.ledger = Ledger::load(rules(), self.crashes, Time(self.now), self.next, jobs).unwrap();
         // An end that was written and not yet told is told by whoever asks.
-        for job in self.disk.values().filter(|job| job.state.settled().is_some()) {
+        for job in self.disk.values().filter(|job| job.state.finished_at().is_some()) {
             self.ended.entry(job.id).or_insert_with(|| job.state.clone());
             self.promised.entry(job.id).or_default();
         }
@@ -207,9 +207,9 @@
                     class: 0,
                     key: key.map(|key| Bytes::from(vec![key])),
                     body: Bytes::from(vec![body]),
-                    at,
+                    not_before: at,
                     lease: Span(60),
-                    tries,
+                    max_attempts: tries,
                 };
                 self.input(Input::Submit(submission));
             }
@@ -263,7 +263,7 @@
                     self.commit_all();
                     self.ended.remove(&id);
                     self.revived.insert(id);
-                    self.input(Input::Revive(id));
+                    self.input(Input::RetryDead(id));
                 }
             }
             Do::Pass(time) => {
@@ -320,9 +320,9 @@
         world.finish();
         for id in owed {
             // Forgotten after its end, or at its end: never neither.
-            let open = world.ledger.job(id).is_some_and(|job| job.state.settled().is_none());
+            let open = world.ledger.job(id).is_some_and(|job| job.state.finished_at().is_none());
             prop_assert!(!open, "job {} was promised and did not come to its end", id.0);
         }
-        prop_assert_eq!(world.ledger.leased(), 0);
+        prop_assert_eq!(world.ledger.lease_count(), 0);
     }
 }
--- a/node/benches/slopes/world.rs
+++ b/node/benches/slopes/world.rs
@@ -171,7 +171,7 @@
             }
             Word::Retune => {
                 let (settings, tables, until) = (settings(self.shape), tables(self.shape), self.now);
-                let rules = vec![keys::Rule { window: sr::Span(0), keep: sr::Span(0) }; 2];
+                let rules = vec![keys::Retention { window: sr::Span(0), uncertain_ttl: sr::Span(0) }; 2];
                 self.step("retune", Input::Retune(Box::new(Retune { settings, tables, rules, until })));
                 self.say(10.0, word);
             }
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -6,7 +6,7 @@
 use crate::runtime::unix_now;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use sablerun as sr;
-use sablerun_keys::{Fate, Member, Snapshot};
+use sablerun_keys::{Member, Resolution, Snapshot};
 use serde_json::json;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -142,21 +142,22 @@
         is(&args.member, &member_of(record.member)) && is(&args.class, &class_of(record.class))
     };
     let all: Vec<_> = snapshot.records.iter().rev().filter(wanted).collect();
-    let count = |served: bool| all.iter().filter(|r| matches!(r.fate, Fate::Served(_)) == served).count();
+    let count =
+        |served: bool| all.iter().filter(|r| matches!(r.resolution, Resolution::Served(_)) == served).count();
     let rows = all.iter().take(args.most).map(|record| {
-        let (state, zone, bytes) = match &record.fate {
-            Fate::Served(result) => ("served", None, result.len()),
-            Fate::MayHaveRun(sent) => {
+        let (state, zone, bytes) = match &record.resolution {
+            Resolution::Served(result) => ("served", None, result.len()),
+            Resolution::MayHaveRun(sent) => {
                 ("may have run", sent.place.and_then(|p| name(&snapshot.names.zones, p.zone)), 0)
             }
-            Fate::NeverRan => ("never ran", None, 0),
+            Resolution::NeverRan => ("never ran", None, 0),
         };
         // Keys may hold anything; a terminal must not.
         let key = String::from_utf8_lossy(&record.key).escape_debug().to_string();
-        (member_of(record.member), class_of(record.class), state, zone, bytes, age(record.at), key)
+        (member_of(record.member), class_of(record.class), state, zone, bytes, age(record.resolved_at), key)
     });
     let mut out = io::stdout().lock();
-    let head = (age(snapshot.made), snapshot.last, count(true), count(false));
+    let head = (age(snapshot.taken_at), snapshot.clean_shutdown, count(true), count(false));
     if args.json {
         let rows: Vec<_> = rows
             .map(|(member, class, state, zone, bytes, age, key)| {
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -4,7 +4,7 @@
 
 use super::{Core, Effect};
 use sablerun as sr;
-use sablerun_digest::{Follower, Frame, Load, Taken};
+use sablerun_digest::{ApplyOutcome, Follower, Frame, Load};
 
 /// A digest that is followed.
 pub(super) struct Digest {
@@ -40,15 +40,15 @@
     /// A frame has come. One that leaves a gap is not believed, nor is what came before it any more.
     pub(super) fn digest(&mut self, now: sr::Time, frame: &Frame) {
         let Some(digest) = &mut self.digest else { return };
-        match digest.follower.take(frame) {
-            Taken::Changed(loads) => {
+        match digest.follower.apply(frame) {
+            ApplyOutcome::Changed(loads) => {
                 digest.heard = Some(now);
                 self.age_of_reports(now);
                 loads.iter().for_each(|load| self.digest_tells(now, load));
             }
             // An earlier publisher's or a repeat: no sign that what is held is up to date.
-            Taken::Old => {}
-            Taken::Gap => {
+            ApplyOutcome::Stale => {}
+            ApplyOutcome::Gap => {
                 digest.heard = None;
                 self.effects.push(Effect::AskDigest);
             }
@@ -80,7 +80,7 @@
 
     fn digest_event(&self, worker: sr::WorkerId, load: &Load) -> sr::Event {
         let fields = self.digest.iter().flat_map(|digest| digest.follower.fields());
-        let figures = fields.map(String::as_str).zip(load.figures.iter().copied());
+        let figures = fields.map(String::as_str).zip(load.values.iter().copied());
         let report = load.ok.then(|| self.tables.named_report(figures));
         sr::Event::Probed(worker, load.ok, report)
     }
--- a/node/src/core/keyed.rs
+++ b/node/src/core/keyed.rs
@@ -24,7 +24,7 @@
     }
 
     /// Where a request under way may have run so far; for a snapshot of the keys.
-    pub fn sent(&self, run: keys::Run) -> Option<keys::Sent> {
+    pub fn sent(&self, run: keys::RunId) -> Option<keys::SentAttempts> {
         self.requests.get(&(run.0 as u32)).and_then(|request| self.sent_of(request))
     }
 
@@ -32,26 +32,26 @@
     pub(super) fn turned(&self, admission: keys::Admission) -> Answer {
         use keys::Admission::*;
         match admission {
-            HandBack(result) => Answer::Served(result),
+            Replay(result) => Answer::Served(result),
             Full(wait) => Answer::Refused(wait.min(self.settings.max_hold_off)),
-            Spent => {
+            NotRepeatable => {
                 Answer::Failed("an earlier try under this key may have run, and a repeat could run again")
             }
-            NotKept => {
+            ResultNotStored => {
                 Answer::Failed("an earlier try under this key was served, but its result was not kept")
             }
             Conflict => {
                 Answer::Unfit("the idempotency key stands for another request: its path or body differs")
             }
-            BadKey => Answer::Unfit("the idempotency key is empty or too long"),
-            Unknown => Answer::Failed("an earlier try may have run before this dispatcher started"),
+            InvalidKey => Answer::Unfit("the idempotency key is empty or too long"),
+            UnknownRetry => Answer::Failed("an earlier try may have run before this dispatcher started"),
             // Those begin or join: nobody is turned away by them.
-            New | Again(_) | Join(_) => Answer::Failed("an earlier try under this key has just ended"),
+            New | Resend(_) | Join(_) => Answer::Failed("an earlier try under this key has just ended"),
         }
     }
 
     /// The sendings of a request that may have run.
-    pub(super) fn sent_of(&self, request: &Request<J>) -> Option<keys::Sent> {
+    pub(super) fn sent_of(&self, request: &Request<J>) -> Option<keys::SentAttempts> {
         let ran = request.attempts.iter().filter(|attempt| attempt.may_have_run);
         let sent = ran.map(|attempt| {
             let place = self.places.get(&attempt.runner).copied().map(|place| {
@@ -62,8 +62,8 @@
                     sr::Effect::Keyed(sr::Group::Cell) | sr::Effect::Safe | sr::Effect::Unsafe => place,
                 }
             });
-            keys::Sent::once(place, attempt.sent)
+            keys::SentAttempts::single(place, attempt.sent)
         });
-        sent.reduce(keys::Sent::and)
+        sent.reduce(keys::SentAttempts::merge)
     }
 }
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -32,12 +32,13 @@
         let member = tenant.map_or(keys::Member::NONE, keys::Member);
         let mut prior = None;
         if let (Some(store), Some(key)) = (&mut self.keys, &key) {
-            let asked = keys::Asked { member, class, key: key.text.as_bytes(), print: key.print, retry };
-            match store.ask(now, &asked, keys::Run(number.into())) {
+            let asked =
+                keys::KeyedRequest { member, class, key: key.text.as_bytes(), fingerprint: key.print, retry };
+            match store.admit(now, &asked, keys::RunId(number.into())) {
                 keys::Admission::New => {}
-                keys::Admission::Again(sent) => {
+                keys::Admission::Resend(sent) => {
                     let place = sent.place.unwrap_or(keys::Place { zone: u32::MAX, cell: 0 });
-                    prior = Some(sr::Prior { zone: place.zone(), cell: place.cell, sent: sent.first });
+                    prior = Some(sr::Prior { zone: place.zone(), cell: place.cell, sent: sent.first_at });
                 }
                 keys::Admission::Join(run) => return self.join(now, run.0 as u32, ticket, deadline),
                 other => {
@@ -135,12 +136,12 @@
         let Some(key) = held.key.take() else { return };
         let held = &self.requests[&request];
         let fate = match (result, self.sent_of(held)) {
-            (Some(result), _) => keys::Fate::Served(result),
-            (None, Some(sent)) => keys::Fate::MayHaveRun(sent),
-            (None, None) => keys::Fate::NeverRan,
+            (Some(result), _) => keys::Resolution::Served(result),
+            (None, Some(sent)) => keys::Resolution::MayHaveRun(sent),
+            (None, None) => keys::Resolution::NeverRan,
         };
         if let Some(store) = &mut self.keys {
-            store.settle(now, key.member, held.class, key.text.as_bytes(), fate);
+            store.resolve(now, key.member, held.class, key.text.as_bytes(), fate);
         }
     }
 
--- a/node/src/core/retune.rs
+++ b/node/src/core/retune.rs
@@ -13,7 +13,7 @@
     pub settings: sr::Settings,
     pub tables: Tables,
     /// For how long keys of each of their classes are kept, where keys are kept.
-    pub rules: Vec<keys::Rule>,
+    pub rules: Vec<keys::Retention>,
     /// Until then a class that is named no more is taken still: clients that have not heard yet, and
     /// requests on their way.
     pub until: sr::Time,
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -6,8 +6,8 @@
 use crate::runtime::unix_now;
 use clap::{Args, Subcommand, ValueEnum};
 use sablerun as sr;
-use sablerun_ledger::{Change, Input, Job, JobId, Ledger, Rules, State};
-use sablerun_store::{Disk, Durable, Loaded, StoreError};
+use sablerun_ledger::{Change, Input, Job, JobId, Ledger, LedgerConfig, State};
+use sablerun_store::{DiskStore, JobStore, StoreContents, StoreError};
 use serde_json::{Value, json};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -180,17 +180,17 @@
 }
 
 /// Opens a store that is there: a name mistyped must not make a new one.
-fn open(file: &Path) -> Result<(Disk, Loaded), String> {
+fn open(file: &Path) -> Result<(DiskStore, StoreContents), String> {
     let told = |e: StoreError| format!("{}: {e}", file.display());
     if !file.is_file() {
         return Err(format!("{}: no such file", file.display()));
     }
-    let mut disk = Disk::open(file).map_err(told)?;
+    let mut disk = DiskStore::open(file).map_err(told)?;
     let loaded = disk.load().map_err(told)?;
     Ok((disk, loaded))
 }
 
-fn name(loaded: &Loaded, number: u32) -> String {
+fn name(loaded: &StoreContents, number: u32) -> String {
     loaded.names.get(number as usize).cloned().unwrap_or_else(|| format!("#{number}"))
 }
 
@@ -199,11 +199,13 @@
 }
 
 /// A job as JSON, with all that is known of it.
-fn whole(loaded: &Loaded, job: &Job) -> Value {
+fn whole(loaded: &StoreContents, job: &Job) -> Value {
     let (at, result) = match &job.state {
-        State::Waiting { at } | State::Dead { at } | State::Cancelled { at } => (*at, None),
-        State::Leased { until } => (*until, None),
-        State::Completed { at, result } => (*at, Some(text(result))),
+        State::Waiting { due_at: at }
+        | State::Dead { finished_at: at }
+        | State::Cancelled { finished_at: at } => (*at, None),
+        State::Leased { expires_at: until } => (*until, None),
+        State::Completed { finished_at: at, result } => (*at, Some(text(result))),
     };
     json!({
         "id": job.id.0,
@@ -212,18 +214,18 @@
         "key": job.key.as_ref().map(|key| text(key)),
         "state": Standing::of(job).word(),
         "state_time_unix_ns": at.0,
-        "accepted_unix_ns": job.accepted.0,
+        "accepted_unix_ns": job.accepted_at.0,
         "lease_s": job.lease.secs(),
-        "tries": job.tries,
-        "most_tries": job.most,
+        "tries": job.attempts,
+        "most_tries": job.max_attempts,
         "epoch": job.epoch.0,
-        "error": job.error,
+        "error": job.last_error,
         "result": result,
         "body": text(&job.body),
     })
 }
 
-fn print_list(loaded: &Loaded, jobs: &[&Job], json: bool) -> io::Result<()> {
+fn print_list(loaded: &StoreContents, jobs: &[&Job], json: bool) -> io::Result<()> {
     let mut out = io::BufWriter::new(io::stdout().lock());
     if json {
         let all: Vec<_> = jobs.iter().map(|job| whole(loaded, job)).collect();
@@ -238,7 +240,7 @@
     )?;
     for job in jobs {
         // What a worker said may hold anything; a terminal must not.
-        let error = job.error.as_deref().unwrap_or("").escape_debug().to_string();
+        let error = job.last_error.as_deref().unwrap_or("").escape_debug().to_string();
         let short: String = error.chars().take(60).collect();
         writeln!(
             out,
@@ -247,10 +249,10 @@
             Standing::of(job).word(),
             name(loaded, job.member),
             name(loaded, job.class),
-            job.tries,
-            job.most,
+            job.attempts,
+            job.max_attempts,
             job.epoch.0,
-            (now - job.accepted).secs()
+            (now - job.accepted_at).secs()
         )?;
     }
     out.flush()
@@ -265,31 +267,31 @@
         }
     }
     // No lease is given and nothing is forgotten here: who opens the store next does that.
-    let rules = Rules { leased: 0, remember: sr::Span(u64::MAX), ..Rules::default() };
-    let ledger = Ledger::load(rules, 0, unix_now(), loaded.next, loaded.jobs);
+    let rules = LedgerConfig { max_leases: 0, retention: sr::Span(u64::MAX), ..LedgerConfig::default() };
+    let ledger = Ledger::load(rules, 0, unix_now(), loaded.next_id, loaded.jobs);
     let mut ledger = ledger.map_err(|e| format!("{}: {e}", file.display()))?;
     let mut changes: Vec<Change> = Vec::new();
     for id in ids {
-        changes.extend(ledger.step(unix_now(), Input::Revive(JobId(*id))).changes);
+        changes.extend(ledger.step(unix_now(), Input::RetryDead(JobId(*id))).changes);
     }
     disk.commit(&changes).map_err(|e| format!("{}: {e}", file.display()))?;
     Ok(ids.len())
 }
 
 /// What does not hold, in words. That every record's checksum matches was seen when it was loaded.
-fn verify(loaded: &Loaded) -> Vec<String> {
+fn verify(loaded: &StoreContents) -> Vec<String> {
     let mut broken = Vec::new();
     for job in &loaded.jobs {
         let leased = Standing::of(job) == Standing::Leased;
         let completed = Standing::of(job) == Standing::Completed;
         for (holds, what) in [
-            (job.id.0 < loaded.next, "its number may be given again"),
-            (job.most > 0, "it may have no tries"),
-            (job.tries <= job.most, "it had more tries than it may have"),
-            (u64::from(job.tries) <= job.epoch.0, "it had more tries than leases"),
+            (job.id.0 < loaded.next_id, "its number may be given again"),
+            (job.max_attempts > 0, "it may have no tries"),
+            (job.attempts <= job.max_attempts, "it had more tries than it may have"),
+            (u64::from(job.attempts) <= job.epoch.0, "it had more tries than leases"),
             (!(leased || completed) || job.epoch.0 > 0, "it has a worker's state, and never had a lease"),
-            (!leased || job.tries > 0, "it is leased, and had no try"),
-            (Standing::of(job) != Standing::Dead || job.error.is_some(), "it is dead of nothing"),
+            (!leased || job.attempts > 0, "it is leased, and had no try"),
+            (Standing::of(job) != Standing::Dead || job.last_error.is_some(), "it is dead of nothing"),
             ((job.member as usize) < loaded.names.len() || job.member == u32::MAX, "its member has no name"),
             ((job.class as usize) < loaded.names.len(), "its class has no name"),
         ] {
@@ -298,7 +300,8 @@
             }
         }
     }
-    if let Err(e) = Ledger::load(Rules::default(), 0, unix_now(), loaded.next, loaded.jobs.clone()) {
+    if let Err(e) = Ledger::load(LedgerConfig::default(), 0, unix_now(), loaded.next_id, loaded.jobs.clone())
+    {
         broken.push(e.to_string());
     }
     broken
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -10,7 +10,7 @@
 use awc::http::StatusCode;
 use futures_util::StreamExt;
 use sablerun as sr;
-use sablerun_digest::Stream;
+use sablerun_digest::FrameDecoder;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -68,10 +68,10 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()));
         }
-        let mut frames = Stream::default();
+        let mut frames = FrameDecoder::default();
         while let Some(bytes) = timeout(self.silent, response.next()).await.map_err(silent)? {
             frames.extend(&bytes.map_err(|e| e.to_string())?);
-            while let Some(frame) = frames.pop().map_err(|e| e.0.to_owned())? {
+            while let Some(frame) = frames.next_frame().map_err(|e| e.0.to_owned())? {
                 let Some(runtime) = self.runtime.upgrade() else { return Ok(()) };
                 *told = true;
                 runtime.feed(Input::Digest(frame));
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -218,24 +218,24 @@
     /// What the store may hold.
     pub fn bounds(&self, hold_off: sr::Span) -> keys::Bounds {
         keys::Bounds {
-            entries: self.entries,
-            bytes: self.memory_mb << 20,
-            result: self.result_bytes,
-            key: self.key_bytes,
-            member: ((self.entries as f64 * self.member_share) as usize).max(1),
+            max_entries: self.entries,
+            max_bytes: self.memory_mb << 20,
+            max_result_bytes: self.result_bytes,
+            max_key_bytes: self.key_bytes,
+            max_entries_per_member: ((self.entries as f64 * self.member_share) as usize).max(1),
             hold_off,
         }
     }
 
     /// How long a class's keys are kept. A client that gives each of three tries the class's deadline is
     /// done after three of them: a later repeat is a new job.
-    pub fn rule(&self, class: &sr::Class) -> keys::Rule {
+    pub fn rule(&self, class: &sr::Class) -> keys::Retention {
         let keep = self.remember_s.map_or(sr::Span(class.deadline.0.saturating_mul(3)), sr::Span::from_secs);
-        keys::Rule { window: class.window, keep: keep.max(class.window) }
+        keys::Retention { window: class.window, uncertain_ttl: keep.max(class.window) }
     }
 
     /// The same for each of these classes.
-    pub fn rules(&self, classes: &[sr::Class]) -> Vec<keys::Rule> {
+    pub fn rules(&self, classes: &[sr::Class]) -> Vec<keys::Retention> {
         classes.iter().map(|class| self.rule(class)).collect()
     }
 
@@ -244,7 +244,7 @@
     pub fn doubt(&self, class: &sr::Class) -> sr::Span {
         match class.effect {
             sr::Effect::Safe | sr::Effect::Keyed(sr::Group::All) => sr::Span(0),
-            _ => self.doubt_s.map_or(self.rule(class).keep, sr::Span::from_secs),
+            _ => self.doubt_s.map_or(self.rule(class).uncertain_ttl, sr::Span::from_secs),
         }
     }
 }
--- a/node/src/publisher.rs
+++ b/node/src/publisher.rs
@@ -46,8 +46,8 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let frame = shared.publisher.borrow_mut().next(shared.config.frame_bytes());
-        match frame.bytes() {
+        let frame = shared.publisher.borrow_mut().next_frame(shared.config.frame_bytes());
+        match frame.to_bytes() {
             // Nobody listens: nobody is owed it.
             Ok(bytes) => {
                 log::debug!("frame of bytes={} followers={}", bytes.len(), shared.frames.receiver_count());
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -90,8 +90,8 @@
         let told = timeout(ANSWER, answer(&client, at)).await.ok().flatten();
         let figure = |name: &String| told.as_ref().and_then(|told| told.get(name)?.as_f64()).unwrap_or(0.0);
         let figures = shared.config.fields.iter().map(figure).collect();
-        let load = Load { runner: runner.clone(), ok: told.is_some(), figures };
-        shared.publisher.borrow_mut().heard(&load);
+        let load = Load { runner: runner.clone(), ok: told.is_some(), values: figures };
+        shared.publisher.borrow_mut().record(&load);
     }
 }
 
--- a/node/src/publisher/serve.rs
+++ b/node/src/publisher/serve.rs
@@ -54,7 +54,7 @@
     }
     // The next frame after the whole is the first that the receiver gets: both are taken in one moment.
     let frames = shared.frames.subscribe();
-    let whole = match shared.publisher.borrow().whole().bytes() {
+    let whole = match shared.publisher.borrow().full_frame().to_bytes() {
         Ok(whole) => {
             log::debug!("whole of bytes={}", whole.len());
             whole
--- a/node/src/runtime/telling.rs
+++ b/node/src/runtime/telling.rs
@@ -116,10 +116,10 @@
                 t.unfit,
                 store.len(),
                 c.joined,
-                c.handed_back,
-                c.again,
-                c.spent + c.not_kept,
-                c.unknown,
+                c.replayed,
+                c.resent,
+                c.not_repeatable + c.result_not_stored,
+                c.unknown_retries,
                 c.full + c.member_full
             )
         });
--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -98,8 +98,9 @@
 /// What the dispatcher holds now. `last`: it has answered everything and sends nothing any more.
 pub fn of(runtime: &Runtime, last: bool) -> Option<Snapshot> {
     let made = runtime.clock.now();
-    let (records, doubt) =
-        runtime.with_keys(|core, store| (store.records(made, |run| core.sent(run)), store.in_doubt(made)))?;
+    let (records, doubt) = runtime.with_keys(|core, store| {
+        (store.records(made, |run| core.sent(run)), store.rejects_unknown_retries(made))
+    })?;
     // What this process can't know of its predecessor its successor can't know from it.
     let last = last && !doubt;
     let names = runtime.with_tables(|tables| Names {
@@ -107,7 +108,7 @@
         classes: tables.classes.all().to_vec(),
         zones: tables.zones.all().to_vec(),
     });
-    Some(Snapshot { made, last, names, records })
+    Some(Snapshot { taken_at: made, clean_shutdown: last, names, records })
 }
 
 /// Writes snapshots on a thread of its own.
@@ -182,14 +183,14 @@
     now: sr::Time,
 ) -> keys::Store {
     let snapshot = place.and_then(Place::read);
-    let whole = snapshot.as_ref().is_some_and(|snapshot| snapshot.last);
+    let whole = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
     if !whole {
         for (class, doubt) in doubts.iter().enumerate() {
-            store.doubt_until(class as u32, now + *doubt);
+            store.reject_unknown_retries_until(class as u32, now + *doubt);
         }
     }
     if let Some(snapshot) = snapshot {
-        let (age, all) = ((now - snapshot.made).secs(), snapshot.records.len());
+        let (age, all) = ((now - snapshot.taken_at).secs(), snapshot.records.len());
         let names = (|n: &str| tables.classes.get(n), |n: &str| tables.tenants.get(n));
         let records = snapshot.renumbered(names.0, names.1, |n| tables.zones.get(n));
         let taken = store.restore(now, records);
--- a/node/tests/digest/main.rs
+++ b/node/tests/digest/main.rs
@@ -16,7 +16,7 @@
     let mut world = World::new(true);
     assert!(world.pass(3.0) > 0, "nothing has come yet");
     let mut publisher = publisher(1, |_| true);
-    world.frames([publisher.whole()]);
+    world.frames([publisher.full_frame()]);
     assert_eq!(follow(&mut world, &mut publisher, 20), 0);
     assert_eq!(world.asked, 0);
 }
@@ -26,16 +26,16 @@
     let load = |n: usize, at: usize| Load {
         runner: name(n),
         ok: !(n + at).is_multiple_of(9),
-        figures: vec![((n * 7 + at) % 5) as f64, ((n + at) % 4) as f64],
+        values: vec![((n * 7 + at) % 5) as f64, ((n + at) % 4) as f64],
     };
     let (mut digest, mut probed) = (World::new(true), World::with(false, Some(EVERY.secs())));
     let mut publisher = Publisher::new(1, &fields());
-    digest.frames([publisher.whole()]);
+    digest.frames([publisher.full_frame()]);
     for at in 0..6 {
-        (0..RUNNERS).for_each(|n| publisher.heard(&load(n, at)));
-        digest.frames([publisher.next(65_000)]);
+        (0..RUNNERS).for_each(|n| publisher.record(&load(n, at)));
+        digest.frames([publisher.next_frame(65_000)]);
         for n in 0..RUNNERS {
-            let Load { runner, ok, figures } = load(n, at);
+            let Load { runner, ok, values: figures } = load(n, at);
             let tables = probed.core.tables();
             let figures = ["outstanding", "x0"].into_iter().zip(figures);
             let report = ok.then(|| tables.named_report(figures));
@@ -63,7 +63,7 @@
             world.step(Input::Ended(attempt, Ending::bare(sr::Outcome::Ok)));
         }
         let mut publisher = publisher(1, free);
-        world.frames([publisher.whole(), publisher.next(1000)]);
+        world.frames([publisher.full_frame(), publisher.next_frame(1000)]);
         if !digest {
             for n in 0..RUNNERS {
                 let room = if free(n) { SLOTS } else { 0.0 };
@@ -85,7 +85,7 @@
 fn a_digest_that_has_fallen_silent_is_not_believed() {
     let mut world = World::new(true);
     let mut publisher = publisher(1, |_| true);
-    world.frames([publisher.whole()]);
+    world.frames([publisher.full_frame()]);
     assert_eq!(follow(&mut world, &mut publisher, 5), 0);
     assert!(world.pass(8.0) >= RUNNERS, "probes go out again");
     // It is back, with nothing missed.
@@ -97,7 +97,7 @@
 fn repeats_and_older_frames_are_no_sign_of_life() {
     let mut world = World::new(true);
     let mut publisher = publisher(1, |_| true);
-    let (whole, next) = (publisher.whole(), publisher.next(1000));
+    let (whole, next) = (publisher.full_frame(), publisher.next_frame(1000));
     world.frames([whole.clone(), next.clone()]);
     for _ in 0..8 {
         world.frames([next.clone(), whole.clone()]);
@@ -110,12 +110,12 @@
 fn a_gap_asks_for_the_whole_and_until_then_probes_go_out() {
     let mut world = World::new(true);
     let mut publisher = publisher(1, |_| true);
-    world.frames([publisher.whole()]);
-    publisher.next(1000);
-    world.frames([publisher.next(1000)]);
+    world.frames([publisher.full_frame()]);
+    publisher.next_frame(1000);
+    world.frames([publisher.next_frame(1000)]);
     assert_eq!(world.asked, 1);
     assert!(world.pass(4.0) > 0);
-    world.frames([publisher.whole()]);
+    world.frames([publisher.full_frame()]);
     assert_eq!(follow(&mut world, &mut publisher, 5), 0);
 }
 
@@ -123,13 +123,13 @@
 fn a_publisher_that_started_anew_is_followed_from_its_whole() {
     let mut world = World::new(true);
     let mut first = publisher(1, |_| false);
-    world.frames([first.whole()]);
+    world.frames([first.full_frame()]);
     follow(&mut world, &mut first, 1);
     let mut second = publisher(2, |_| true);
-    world.frames([second.whole()]);
+    world.frames([second.full_frame()]);
     assert_eq!(follow(&mut world, &mut second, 5), 0);
     // What the first still sends changes nothing.
-    world.frames([first.next(1000), first.whole()]);
+    world.frames([first.next_frame(1000), first.full_frame()]);
     assert_eq!(follow(&mut world, &mut second, 5), 0);
     assert_eq!(world.asked, 0);
 }
@@ -139,10 +139,10 @@
     let mut world = World::new(true);
     let mut publisher = Publisher::new(1, &fields());
     for n in 1..RUNNERS {
-        publisher.heard(&Load { runner: name(n), ok: true, figures: vec![0.0, SLOTS] });
+        publisher.record(&Load { runner: name(n), ok: true, values: vec![0.0, SLOTS] });
     }
-    publisher.next(65_000);
-    world.frames([publisher.whole()]);
+    publisher.next_frame(65_000);
+    world.frames([publisher.full_frame()]);
     let probes = follow(&mut world, &mut publisher, 20);
     assert!((8..=12).contains(&probes), "one runner, each 2 s: {probes}");
 }
--- a/node/tests/digest/world.rs
+++ b/node/tests/digest/world.rs
@@ -136,9 +136,9 @@
     let mut publisher = Publisher::new(epoch, &fields());
     for n in 0..RUNNERS {
         let room = if free(n) { SLOTS } else { 0.0 };
-        publisher.heard(&Load { runner: name(n), ok: true, figures: vec![SLOTS - room, room] });
+        publisher.record(&Load { runner: name(n), ok: true, values: vec![SLOTS - room, room] });
     }
-    publisher.next(65_000);
+    publisher.next_frame(65_000);
     publisher
 }
 
@@ -146,7 +146,7 @@
 pub fn follow(world: &mut World, publisher: &mut Publisher, seconds: usize) -> usize {
     (0..seconds)
         .map(|_| {
-            world.frames([publisher.next(1000)]);
+            world.frames([publisher.next_frame(1000)]);
             world.pass(1.0)
         })
         .sum()
--- a/node/tests/jobs.rs
+++ b/node/tests/jobs.rs
@@ -2,7 +2,7 @@
 
 use sablerun::{Span, Time};
 use sablerun_ledger::{Change, Epoch, Job, JobId, State};
-use sablerun_store::{Disk, Durable};
+use sablerun_store::{DiskStore, JobStore};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -14,20 +14,20 @@
         class: 1,
         key: Some(format!("k{id}").into()),
         body: "the body".into(),
-        accepted: Time(1_700_000_000_000_000_000),
+        accepted_at: Time(1_700_000_000_000_000_000),
         lease: Span::from_secs(30.0),
-        most: 3,
-        tries: 3,
+        max_attempts: 3,
+        attempts: 3,
         epoch: Epoch(4),
-        error: Some("no \u{1b}[31mwalk".to_owned()),
+        last_error: Some("no \u{1b}[31mwalk".to_owned()),
         state,
     }
 }
 
 fn store(folder: &Path, jobs: Vec<Job>) -> PathBuf {
     let file = folder.join("jobs");
-    let mut disk = Disk::open(&file).unwrap();
-    disk.numbers(&["mehran-dist", "wave-release"]).unwrap();
+    let mut disk = DiskStore::open(&file).unwrap();
+    disk.numbers_for(&["mehran-dist", "wave-release"]).unwrap();
     disk.commit(&jobs.into_iter().map(Change::Put).collect::<Vec<_>>()).unwrap();
     file
 }
@@ -43,9 +43,11 @@
 fn an_operator_sees_what_is_there_and_revives_what_is_dead() {
     let folder = tempfile::tempdir().unwrap();
     let at = Time(1_700_000_001_000_000_000);
-    let done = State::Completed { at, result: "made".into() };
-    let file =
-        store(folder.path(), vec![job(1, State::Waiting { at }), job(2, State::Dead { at }), job(3, done)]);
+    let done = State::Completed { finished_at: at, result: "made".into() };
+    let file = store(
+        folder.path(),
+        vec![job(1, State::Waiting { due_at: at }), job(2, State::Dead { finished_at: at }), job(3, done)],
+    );
     let (code, out, _) = jobs(&["list"], &file, &[]);
     assert!(code == 0 && out.contains("wave-release") && out.contains("completed"), "{out}");
     assert!(!out.contains('\u{1b}'), "what a worker said reaches the terminal as it is");
@@ -81,21 +83,21 @@
     let at = Time(1);
     let broken = |change: &dyn Fn(&mut Job)| {
         let folder = tempfile::tempdir().unwrap();
-        let mut bad = job(2, State::Leased { until: at });
+        let mut bad = job(2, State::Leased { expires_at: at });
         change(&mut bad);
-        let file = store(folder.path(), vec![job(1, State::Waiting { at }), bad]);
+        let file = store(folder.path(), vec![job(1, State::Waiting { due_at: at }), bad]);
         let (code, out, _) = jobs(&["verify"], &file, &[]);
         assert_eq!(code, 1, "{out}");
         out
     };
-    assert!(broken(&|job| job.tries = 4).contains("job 2: it had more tries than it may have"));
+    assert!(broken(&|job| job.attempts = 4).contains("job 2: it had more tries than it may have"));
     assert!(
         broken(&|job| job.epoch = Epoch(0)).contains("job 2: it has a worker's state, and never had a lease")
     );
     assert!(broken(&|job| job.key = Some("k1".into())).contains("jobs 1 and 2 have one key"));
     assert!(broken(&|job| job.class = 7).contains("job 2: its class has no name"));
     assert!(
-        broken(&|job| (job.state, job.error) = (State::Dead { at }, None))
+        broken(&|job| (job.state, job.last_error) = (State::Dead { finished_at: at }, None))
             .contains("job 2: it is dead of nothing")
     );
 }
@@ -104,7 +106,7 @@
 fn a_store_in_use_or_missing_or_damaged_is_named() {
     let folder = tempfile::tempdir().unwrap();
     let file = store(folder.path(), vec![]);
-    let held = Disk::open(&file).unwrap();
+    let held = DiskStore::open(&file).unwrap();
     let (code, _, why) = jobs(&["list"], &file, &[]);
     assert!(code == 1 && why.contains("another process has it open; end that one"), "{why}");
     drop(held);
--- a/node/tests/key_snapshots.rs
+++ b/node/tests/key_snapshots.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use halls::*;
-use sablerun_keys::{Fate, Record, Snapshot};
+use sablerun_keys::{Record, Resolution, Snapshot};
 use serde_json::{Value, json};
 use std::process::Command;
 use std::time::Instant;
@@ -18,7 +18,8 @@
 /// Waits until the snapshot on the disk holds the key as served. A number of snapshots would not tell: one
 /// may be in the midst of its writing and one wait for it, both made before the answer.
 fn kept(program: &Program, folder: &std::path::Path, key: &str) {
-    let served = |record: &Record| record.key == key.as_bytes() && matches!(record.fate, Fate::Served(_));
+    let served =
+        |record: &Record| record.key == key.as_bytes() && matches!(record.resolution, Resolution::Served(_));
     let holds = || {
         let bytes = std::fs::read(folder.join("keys")).unwrap();
         Snapshot::decode(&bytes).unwrap().records.iter().any(served)
--- a/node/tests/model/main.rs
+++ b/node/tests/model/main.rs
@@ -38,7 +38,7 @@
         assert!(world.asked.iter().all(|asked| asked.client != Client::Waits));
         assert!(world.tried.iter().all(|tried| tried.over.is_some()));
         assert_eq!((world.core.open(), world.core.kept()), (0, (0, 0)));
-        assert_eq!(world.core.keys().unwrap().under_way(), 0, "a key under way with no request");
+        assert_eq!(world.core.keys().unwrap().in_progress(), 0, "a key under way with no request");
     }
 }
 
@@ -95,7 +95,7 @@
     list(&mut world, sr::Standing::Gone);
     world.pass(at + WINDOW - sr::Span(100_000_000));
     world.take(arrive(2000));
-    assert_eq!(world.core.keys().unwrap().counts().again, 1);
+    assert_eq!(world.core.keys().unwrap().counts().resent, 1);
     assert_eq!(world.tried.len(), before, "sent to another hall");
     world.pass(at + WINDOW + sr::Span(10_000_000));
     list(&mut world, sr::Standing::Ready);
--- a/node/tests/model/world.rs
+++ b/node/tests/model/world.rs
@@ -97,14 +97,17 @@
         let now = sr::Time(1_000_000_000_000);
         let mut core = Core::new(settings, tables, roster(1), seed, now, 20).unwrap();
         let bounds = keys::Bounds {
-            entries: 1000,
-            bytes: 1 << 20,
-            result: 100,
-            key: 100,
-            member: 1000,
+            max_entries: 1000,
+            max_bytes: 1 << 20,
+            max_result_bytes: 100,
+            max_key_bytes: 100,
+            max_entries_per_member: 1000,
             hold_off: sr::Span(1),
         };
-        core.keep_keys(keys::Store::new(bounds, vec![keys::Rule { window: WINDOW, keep: KEEP }; 3]));
+        core.keep_keys(keys::Store::new(
+            bounds,
+            vec![keys::Retention { window: WINDOW, uncertain_ttl: KEEP }; 3],
+        ));
         let standing = [sr::Standing::Ready; 4];
         let (asked, tried) = (Vec::new(), Vec::new());
         let (roster, asked_for_list, stop) = (roster(1), 0, None);
--- a/node/tests/retuning.rs
+++ b/node/tests/retuning.rs
@@ -103,7 +103,7 @@
     for (vanish, order) in [(true, [0, 1]), (false, [1, 0])] {
         let mut core = core(&["mehran", "ravi"]);
         let names: &[&str] = if vanish { &[] } else { &["ravi"] };
-        let rules = vec![keys::Rule { window: SECOND, keep: SECOND }; 2];
+        let rules = vec![keys::Retention { window: SECOND, uncertain_ttl: SECOND }; 2];
         let (settings, tables) = (settings(names.len()), tables(names));
         core.step(START, Input::Retune(Box::new(Retune { settings, tables, rules, until: START })));
         let ravi = (!vanish).then_some(1);
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -5,7 +5,7 @@
 //! also panic (a length in its own bookkeeping that leads outside the
 //! file, found by turning bits): every call into it is fenced, and a panic becomes an error.
 
-use crate::{Durable, Loaded, StoreError};
+use crate::{JobStore, StoreContents, StoreError};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, ReadableTableMetadata, StorageError,
     TableDefinition,
@@ -24,7 +24,7 @@
 const FACTS: TableDefinition<&str, u64> = TableDefinition::new("facts");
 
 /// The store.
-pub struct Disk {
+pub struct DiskStore {
     /// Empty only while it is dropped.
     database: Option<Database>,
     file: PathBuf,
@@ -34,8 +34,8 @@
 
 fn any(error: impl Into<redb::Error>) -> StoreError {
     match error.into() {
-        redb::Error::Io(e) if e.kind() == ErrorKind::StorageFull => StoreError::Full,
-        redb::Error::Corrupted(why) => StoreError::NoStore(why),
+        redb::Error::Io(e) if e.kind() == ErrorKind::StorageFull => StoreError::DiskFull,
+        redb::Error::Corrupted(why) => StoreError::InvalidFile(why),
         other => StoreError::Io(other.to_string()),
     }
 }
@@ -43,35 +43,35 @@
 /// Calls into redb. After a panic the store is not used any more: its callers open it anew or end.
 fn fenced<T>(call: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     let damaged = "the file is damaged beyond what can be read; restore it from a copy";
-    catch_unwind(AssertUnwindSafe(call)).unwrap_or_else(|_| Err(StoreError::NoStore(damaged.to_owned())))
+    catch_unwind(AssertUnwindSafe(call)).unwrap_or_else(|_| Err(StoreError::InvalidFile(damaged.to_owned())))
 }
 
-impl Disk {
+impl DiskStore {
     /// Opens a file, or makes it.
     ///
     /// # Errors
     ///
     /// If another process has it open, or it is no store that this program knows.
-    pub fn open(file: &Path) -> Result<Disk, StoreError> {
-        fenced(|| Disk::open_unfenced(file))
+    pub fn open(file: &Path) -> Result<DiskStore, StoreError> {
+        fenced(|| DiskStore::open_unfenced(file))
     }
 
-    fn open_unfenced(file: &Path) -> Result<Disk, StoreError> {
+    fn open_unfenced(file: &Path) -> Result<DiskStore, StoreError> {
         let database = Database::create(file).map_err(|e| match e {
             DatabaseError::DatabaseAlreadyOpen => StoreError::Locked(file.display().to_string()),
             DatabaseError::Storage(StorageError::Io(e)) if e.kind() == ErrorKind::InvalidData => {
-                StoreError::NoStore(format!("{}: {e}", file.display()))
+                StoreError::InvalidFile(format!("{}: {e}", file.display()))
             }
             DatabaseError::Storage(e) => any(e),
-            other => StoreError::NoStore(format!("{}: {other}", file.display())),
+            other => StoreError::InvalidFile(format!("{}: {other}", file.display())),
         })?;
-        let mut disk = Disk { database: Some(database), file: file.to_owned(), next: 1 };
+        let mut disk = DiskStore { database: Some(database), file: file.to_owned(), next: 1 };
         disk.settle_schema()?;
         Ok(disk)
     }
 
     fn database(&self) -> Result<&Database, StoreError> {
-        self.database.as_ref().ok_or_else(|| StoreError::NoStore("closed".to_owned()))
+        self.database.as_ref().ok_or_else(|| StoreError::InvalidFile("closed".to_owned()))
     }
 
     fn settle_schema(&mut self) -> Result<(), StoreError> {
@@ -84,7 +84,7 @@
                     facts.insert("schema", SCHEMA).map_err(any)?;
                 }
                 Some(SCHEMA) => {}
-                Some(other) => return Err(StoreError::Schema(other)),
+                Some(other) => return Err(StoreError::UnsupportedSchema(other)),
             }
             self.next = facts.get("next").map_err(any)?.map_or(1, |fact| fact.value());
             write.open_table(JOBS).map_err(any)?;
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// If new ones could not be made durable.
-    pub fn numbers(&mut self, names: &[&str]) -> Result<Vec<u32>, StoreError> {
+    pub fn numbers_for(&mut self, names: &[&str]) -> Result<Vec<u32>, StoreError> {
         fenced(|| {
             let write = self.database()?.begin_write().map_err(any)?;
             let mut numbers = Vec::with_capacity(names.len());
@@ -123,7 +123,7 @@
     }
 }
 
-impl Drop for Disk {
+impl Drop for DiskStore {
     /// Closing writes redb's bookkeeping, which in a damaged file may panic too. What was committed is
     /// durable already.
     fn drop(&mut self) {
@@ -138,8 +138,8 @@
     }
 }
 
-impl Durable for Disk {
-    fn load(&mut self) -> Result<Loaded, StoreError> {
+impl JobStore for DiskStore {
+    fn load(&mut self) -> Result<StoreContents, StoreError> {
         fenced(|| self.load_unfenced())
     }
 
@@ -152,12 +152,12 @@
     }
 }
 
-impl Disk {
-    fn load_unfenced(&mut self) -> Result<Loaded, StoreError> {
+impl DiskStore {
+    fn load_unfenced(&mut self) -> Result<StoreContents, StoreError> {
         let file = self.file.display().to_string();
-        let database = self.database.as_mut().ok_or_else(|| StoreError::NoStore("closed".to_owned()))?;
+        let database = self.database.as_mut().ok_or_else(|| StoreError::InvalidFile("closed".to_owned()))?;
         if !database.check_integrity().map_err(any)? {
-            return Err(StoreError::NoStore(format!("{file}: damaged; restore it from a copy")));
+            return Err(StoreError::InvalidFile(format!("{file}: damaged; restore it from a copy")));
         }
         let read = self.database()?.begin_read().map_err(any)?;
         let table = read.open_table(JOBS).map_err(any)?;
@@ -173,11 +173,11 @@
             let (name, number) = entry.map_err(any)?;
             let (name, number) = (name.value().to_owned(), number.value() as usize);
             let Some(place) = names.get_mut(number) else {
-                return Err(StoreError::NoStore(format!("the name {name} has number {number}")));
+                return Err(StoreError::InvalidFile(format!("the name {name} has number {number}")));
             };
             *place = name;
         }
-        Ok(Loaded { next: self.next, jobs, names })
+        Ok(StoreContents { next_id: self.next, jobs, names })
     }
 
     fn commit_unfenced(&mut self, changes: &[Change]) -> Result<(), StoreError> {
@@ -191,7 +191,7 @@
                         next = next.max(job.id.0 + 1);
                         jobs.insert(job.id.0, pack(job).as_slice()).map_err(any)?;
                     }
-                    Change::Drop(id) => {
+                    Change::Delete(id) => {
                         jobs.remove(id.0).map_err(any)?;
                     }
                 }
--- a/store/src/faults.rs
+++ b/store/src/faults.rs
@@ -1,7 +1,7 @@
 //! A store that fails as told, before another one: for tests of what is promised when the disk does not
 //! hold. It owns no data.
 
-use crate::{Durable, Loaded, StoreError};
+use crate::{JobStore, StoreContents, StoreError};
 use sablerun_ledger::Change;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -23,15 +23,15 @@
 }
 
 /// A store with faults before it.
-pub struct Faulty<S> {
+pub struct FaultyStore<S> {
     store: S,
     plan: Arc<Mutex<VecDeque<Fault>>>,
 }
 
-impl<S: Durable> Faulty<S> {
+impl<S: JobStore> FaultyStore<S> {
     /// Puts planned faults before a store; after them all goes well.
-    pub fn new(store: S, plan: impl IntoIterator<Item = Fault>) -> Faulty<S> {
-        Faulty { store, plan: Arc::new(Mutex::new(plan.into_iter().collect())) }
+    pub fn new(store: S, plan: impl IntoIterator<Item = Fault>) -> FaultyStore<S> {
+        FaultyStore { store, plan: Arc::new(Mutex::new(plan.into_iter().collect())) }
     }
 
     /// The plan, to add to while it runs.
@@ -40,8 +40,8 @@
     }
 }
 
-impl<S: Durable> Durable for Faulty<S> {
-    fn load(&mut self) -> Result<Loaded, StoreError> {
+impl<S: JobStore> JobStore for FaultyStore<S> {
+    fn load(&mut self) -> Result<StoreContents, StoreError> {
         self.store.load()
     }
 
@@ -49,7 +49,7 @@
         let fault = self.plan.lock().map_or(None, |mut plan| plan.pop_front());
         match fault.unwrap_or(Fault::None) {
             Fault::None => self.store.commit(changes),
-            Fault::Full => Err(StoreError::Full),
+            Fault::Full => Err(StoreError::DiskFull),
             Fault::SyncLost => Err(StoreError::Io("the sync failed".to_owned())),
             Fault::SyncWritten => {
                 self.store.commit(changes)?;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -6,18 +6,18 @@
 mod disk;
 mod faults;
 
-pub use committer::{Committer, Outcome};
-pub use disk::{Disk, SCHEMA};
-pub use faults::{Fault, Faulty};
+pub use committer::{CommitOutcome, Committer};
+pub use disk::{DiskStore, SCHEMA};
+pub use faults::{Fault, FaultyStore};
 
 use sablerun_ledger::{Change, Job, JobId, RecordError};
 use std::fmt;
 
 /// All that a store holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Loaded {
+pub struct StoreContents {
     /// The first number that no job ever had.
-    pub next: u64,
+    pub next_id: u64,
     /// The jobs, by number.
     pub jobs: Vec<Job>,
     /// The names of members and classes, by the numbers that jobs give them.
@@ -25,13 +25,13 @@
 }
 
 /// Where jobs are kept.
-pub trait Durable: Send {
+pub trait JobStore: Send {
     /// All that it holds.
     ///
     /// # Errors
     ///
     /// If anything in it can't be trusted; nothing is handed out then.
-    fn load(&mut self) -> Result<Loaded, StoreError>;
+    fn load(&mut self) -> Result<StoreContents, StoreError>;
 
     /// Makes changes durable: all of them, or none.
     ///
@@ -52,11 +52,11 @@
     /// A record whose checksum does not match, or that can't be read.
     Damaged(JobId, String),
     /// The file itself is no store, or is damaged.
-    NoStore(String),
+    InvalidFile(String),
     /// A schema that this program does not know.
-    Schema(u64),
+    UnsupportedSchema(u64),
     /// There is no room on the disk.
-    Full,
+    DiskFull,
     /// The disk said no.
     Io(String),
 }
@@ -70,11 +70,11 @@
             StoreError::Damaged(id, why) => {
                 write!(f, "job {}: {why}; nothing is loaded: restore the file from a copy", id.0)
             }
-            StoreError::NoStore(why) => write!(f, "not a store of jobs: {why}"),
-            StoreError::Schema(version) => {
+            StoreError::InvalidFile(why) => write!(f, "not a store of jobs: {why}"),
+            StoreError::UnsupportedSchema(version) => {
                 write!(f, "a store of schema {version}; this program reads 1 to {SCHEMA}: use a newer one")
             }
-            StoreError::Full => write!(f, "no room on the disk"),
+            StoreError::DiskFull => write!(f, "no room on the disk"),
             StoreError::Io(why) => write!(f, "the disk: {why}"),
         }
     }
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -3,7 +3,9 @@
 use bytes::Bytes;
 use sablerun::{Span, Time};
 use sablerun_ledger::{Change, Epoch, Job, JobId, State};
-use sablerun_store::{Committer, Disk, Durable, Fault, Faulty, Loaded, Outcome, StoreError};
+use sablerun_store::{
+    CommitOutcome, Committer, DiskStore, Fault, FaultyStore, JobStore, StoreContents, StoreError,
+};
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -16,45 +18,45 @@
         class: 2,
         key: Some(Bytes::from(format!("key-{id}"))),
         body: Bytes::from(vec![b'b'; size]),
-        accepted: Time(5),
+        accepted_at: Time(5),
         lease: Span(6),
-        most: 3,
-        tries: 1,
+        max_attempts: 3,
+        attempts: 1,
         epoch: Epoch(1),
-        error: Some("why".to_owned()),
-        state: State::Leased { until: Time(9) },
+        last_error: Some("why".to_owned()),
+        state: State::Leased { expires_at: Time(9) },
     }
 }
 
-fn load(file: &Path) -> Result<Loaded, StoreError> {
-    Disk::open(file)?.load()
+fn load(file: &Path) -> Result<StoreContents, StoreError> {
+    DiskStore::open(file)?.load()
 }
 
 #[test]
 fn what_was_committed_is_there_and_no_number_is_given_twice() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
-    let mut disk = Disk::open(&file).unwrap();
+    let mut disk = DiskStore::open(&file).unwrap();
     disk.commit(&[Change::Put(job(1, 10)), Change::Put(job(2, 60_000)), Change::Put(job(7, 0))]).unwrap();
-    disk.commit(&[Change::Put(job(1, 20)), Change::Drop(JobId(2))]).unwrap();
+    disk.commit(&[Change::Put(job(1, 20)), Change::Delete(JobId(2))]).unwrap();
     drop(disk);
     let jobs = vec![job(1, 20), job(7, 0)];
-    assert_eq!(load(&file).unwrap(), Loaded { next: 8, jobs, names: vec![] });
-    let mut disk = Disk::open(&file).unwrap();
-    disk.commit(&[Change::Drop(JobId(1)), Change::Drop(JobId(7))]).unwrap();
+    assert_eq!(load(&file).unwrap(), StoreContents { next_id: 8, jobs, names: vec![] });
+    let mut disk = DiskStore::open(&file).unwrap();
+    disk.commit(&[Change::Delete(JobId(1)), Change::Delete(JobId(7))]).unwrap();
     drop(disk);
-    assert_eq!(load(&file).unwrap(), Loaded { next: 8, jobs: vec![], names: vec![] });
+    assert_eq!(load(&file).unwrap(), StoreContents { next_id: 8, jobs: vec![], names: vec![] });
 }
 
 #[test]
 fn names_keep_their_numbers_whatever_is_asked_for_next() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
-    let mut disk = Disk::open(&file).unwrap();
-    assert_eq!(disk.numbers(&["mehran", "wave", "mehran"]).unwrap(), [0, 1, 0]);
+    let mut disk = DiskStore::open(&file).unwrap();
+    assert_eq!(disk.numbers_for(&["mehran", "wave", "mehran"]).unwrap(), [0, 1, 0]);
     drop(disk);
-    let mut disk = Disk::open(&file).unwrap();
-    assert_eq!(disk.numbers(&["pick", "wave", "mehran"]).unwrap(), [2, 1, 0]);
+    let mut disk = DiskStore::open(&file).unwrap();
+    assert_eq!(disk.numbers_for(&["pick", "wave", "mehran"]).unwrap(), [2, 1, 0]);
     assert_eq!(disk.load().unwrap().names, ["mehran", "wave", "pick"]);
 }
 
@@ -62,8 +64,8 @@
 fn one_process_at_a_time() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
-    let _held = Disk::open(&file).unwrap();
-    let error = Disk::open(&file).err().unwrap();
+    let _held = DiskStore::open(&file).unwrap();
+    let error = DiskStore::open(&file).err().unwrap();
     assert!(matches!(&error, StoreError::Locked(_)), "{error}");
     assert!(error.to_string().contains("another process has it open"));
 }
@@ -73,7 +75,7 @@
 fn a_turned_bit_is_found_or_of_no_account() {
     let folder = tempfile::tempdir().unwrap();
     let (good, bad) = (folder.path().join("good"), folder.path().join("bad"));
-    let mut disk = Disk::open(&good).unwrap();
+    let mut disk = DiskStore::open(&good).unwrap();
     let jobs: Vec<_> = (1..40).map(|id| job(id, 700 + id as usize)).collect();
     disk.commit(&jobs.iter().cloned().map(Change::Put).collect::<Vec<_>>()).unwrap();
     drop(disk);
@@ -100,9 +102,9 @@
     let folder = tempfile::tempdir().unwrap();
     let text = folder.path().join("text");
     std::fs::write(&text, "this is no store of jobs").unwrap();
-    assert!(matches!(load(&text), Err(StoreError::NoStore(_) | StoreError::Io(_))));
+    assert!(matches!(load(&text), Err(StoreError::InvalidFile(_) | StoreError::Io(_))));
     let newer = folder.path().join("newer");
-    drop(Disk::open(&newer).unwrap());
+    drop(DiskStore::open(&newer).unwrap());
     let table: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("facts");
     let database = redb::Database::open(&newer).unwrap();
     let write = database.begin_write().unwrap();
@@ -110,7 +112,7 @@
     write.commit().unwrap();
     drop(database);
     let error = load(&newer).unwrap_err();
-    assert_eq!(error, StoreError::Schema(9));
+    assert_eq!(error, StoreError::UnsupportedSchema(9));
     assert!(error.to_string().contains("use a newer one"), "{error}");
 }
 
@@ -120,20 +122,20 @@
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("jobs");
         // One step a commit, so that the plan meets the third.
-        let store = Faulty::new(Disk::open(&file).unwrap(), [Fault::None, Fault::None, fault]);
+        let store = FaultyStore::new(DiskStore::open(&file).unwrap(), [Fault::None, Fault::None, fault]);
         let (tell, told) = channel();
         let mut committer = Committer::start(store, 8, 1, move |outcome| tell.send(outcome).unwrap());
         for number in 1..=2 {
-            assert_eq!(committer.queue(vec![Change::Put(job(number, 1))]), Some(number));
-            assert_eq!(told.recv().unwrap(), Outcome::Durable(number));
+            assert_eq!(committer.enqueue(vec![Change::Put(job(number, 1))]), Some(number));
+            assert_eq!(told.recv().unwrap(), CommitOutcome::Durable(number));
         }
-        assert_eq!(committer.queue(vec![Change::Put(job(3, 1))]), Some(3));
-        assert!(matches!(told.recv().unwrap(), Outcome::Failed(_)));
+        assert_eq!(committer.enqueue(vec![Change::Put(job(3, 1))]), Some(3));
+        assert!(matches!(told.recv().unwrap(), CommitOutcome::Failed(_)));
         // The thread has ended: it takes no more, and does not try again.
-        while committer.queue(vec![Change::Put(job(4, 1))]).is_some() {
+        while committer.enqueue(vec![Change::Put(job(4, 1))]).is_some() {
             std::thread::yield_now();
         }
-        committer.end();
+        committer.shutdown();
         assert_eq!(load(&file).unwrap().jobs.len(), written, "{fault:?}");
     }
 }
@@ -143,18 +145,18 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
     let slow = Fault::Slow(std::time::Duration::from_millis(300));
-    let store = Faulty::new(Disk::open(&file).unwrap(), [slow]);
+    let store = FaultyStore::new(DiskStore::open(&file).unwrap(), [slow]);
     let (tell, told) = channel();
     let mut committer = Committer::start(store, 4, 100, move |outcome| tell.send(outcome).unwrap());
     // The first is taken off the queue at once or not yet; beyond that four fit.
     let mut taken = 0;
-    while taken < 20 && committer.queue(vec![Change::Put(job(taken + 1, 1))]).is_some() {
+    while taken < 20 && committer.enqueue(vec![Change::Put(job(taken + 1, 1))]).is_some() {
         taken += 1;
     }
     assert!(taken < 20, "no bound");
-    committer.end();
+    committer.shutdown();
     let outcomes: Vec<_> = told.iter().collect();
-    assert_eq!(*outcomes.last().unwrap(), Outcome::Durable(taken));
+    assert_eq!(*outcomes.last().unwrap(), CommitOutcome::Durable(taken));
     assert!(outcomes.len() < taken as usize, "one commit a step: {outcomes:?}");
     assert_eq!(load(&file).unwrap().jobs.len() as u64, taken);
 }
@@ -164,8 +166,8 @@
 fn a_kill_in_the_midst_of_commits_keeps_all_that_was_told() {
     const FILE: &str = "SABLERUN_STORE_TEST_FILE";
     if let Ok(file) = std::env::var(FILE) {
-        let mut disk = Disk::open(Path::new(&file)).unwrap();
-        let first = disk.load().unwrap().next;
+        let mut disk = DiskStore::open(Path::new(&file)).unwrap();
+        let first = disk.load().unwrap().next_id;
         for id in first..first + 100_000 {
             disk.commit(&[Change::Put(job(id, 300)), Change::Put(job(id, 301))]).unwrap();
             println!("durable {id}");
@@ -192,9 +194,13 @@
         child.wait().unwrap();
         last = lines.map_while(Result::ok).filter_map(|line| told(&line)).last().unwrap_or(last);
         let loaded = load(&file).unwrap();
-        assert!(loaded.next > last && loaded.next <= last + 2, "told {last}, held below {}", loaded.next);
+        assert!(
+            loaded.next_id > last && loaded.next_id <= last + 2,
+            "told {last}, held below {}",
+            loaded.next_id
+        );
         let ids: Vec<_> = loaded.jobs.iter().map(|job| job.id.0).collect();
-        assert_eq!(ids, (1..loaded.next).collect::<Vec<_>>());
+        assert_eq!(ids, (1..loaded.next_id).collect::<Vec<_>>());
         assert!(loaded.jobs.iter().all(|job| job.body.len() == 301), "half a commit");
     }
 }
