--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -27,9 +27,9 @@
 use sablerun_node::assembly;
 use sablerun_node::config::{Config, adopt};
 use sablerun_node::limits::Limits;
-use sablerun_node::net::digest::Digest;
+use sablerun_node::net::digest::DigestSubscriber;
 use sablerun_node::net::platform::{self, Front};
-use sablerun_node::net::runners::Runners;
+use sablerun_node::net::runners::RunnerLink;
 use sablerun_node::operator::Operator;
 use sablerun_node::runtime::{Clock, Observer, Runtime};
 use serde_json::Value;
@@ -155,7 +155,7 @@
     number: usize,
     text: Value,
     runtime: Rc<Runtime>,
-    runners: Rc<Runners>,
+    runners: Rc<RunnerLink>,
     front: Rc<Front>,
 }
 
@@ -171,7 +171,7 @@
         runtime.show_to(Rc::new(looker));
         let (runners, roster) = assembly::join(&runtime);
         if let Some(section) = &shared.operator.digest {
-            Digest::start(&runtime, section);
+            DigestSubscriber::start(&runtime, section);
         }
         let listener = platform::listen(config.listen, runtime.limits.backlog)
             .map_err(|e| format!("listen: {}: {e}", config.listen))?;
--- a/node/src/assembly.rs
+++ b/node/src/assembly.rs
@@ -5,10 +5,10 @@
 use crate::config::Config;
 use crate::core::{Core, Input, Source};
 use crate::limits::Limits;
-use crate::net::discovery::Discovery;
+use crate::net::discovery::DiscoveryClient;
 use crate::net::hosts::Hosts;
 use crate::net::platform::Front;
-use crate::net::runners::Runners;
+use crate::net::runners::RunnerLink;
 use crate::runtime::{Clock, Runtime};
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -42,10 +42,10 @@
 }
 
 /// Gives a runtime its way to the platform's runners, and to discovery.
-pub fn join(runtime: &Rc<Runtime>) -> (Rc<Runners>, Rc<Discovery>) {
-    let runners = Runners::new(runtime);
+pub fn join(runtime: &Rc<Runtime>) -> (Rc<RunnerLink>, Rc<DiscoveryClient>) {
+    let runners = RunnerLink::new(runtime);
     runtime.add_link(runners.clone());
-    let roster = Discovery::new(runtime, &runners);
+    let roster = DiscoveryClient::new(runtime, &runners);
     runtime.set_roster(roster.clone());
     (runners, roster)
 }
@@ -53,12 +53,12 @@
 /// Begins: asks for the list, keeps time and serves whoever comes to the listener.
 pub fn begin(
     runtime: &Rc<Runtime>,
-    roster: &Discovery,
+    roster: &DiscoveryClient,
     known: Option<Hosts>,
     listener: TcpListener,
 ) -> Rc<Front> {
     match known {
-        Some(known) => roster.take(sr::ListKind::Saved, known),
+        Some(known) => roster.apply_list(sr::ListKind::Saved, known),
         None => runtime.feed(Input::List(Source::Discovery, sr::ListKind::Saved, Vec::new())),
     }
     let timer = runtime.clone();
--- a/node/src/by_hand.rs
+++ b/node/src/by_hand.rs
@@ -3,19 +3,19 @@
 //! answer for the core, which says what came of a call.
 
 use crate::bans;
+use crate::net::admin::{Operation, OperationRequest};
 use crate::net::callbacks::{self, CallBack};
-use crate::net::door::{Ask, Asked};
 use crate::runtime::Runtime;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 /// Carries out what callers at the door ask of the serving thread, one after the other.
-pub async fn carry_out(runtime: Rc<Runtime>, mut asked: UnboundedReceiver<Asked>, bans: PathBuf) {
-    while let Some(Asked { ask, reply }) = asked.recv().await {
-        let done = match ask {
-            Ask::Hand { runner, out } => by_hand(&runtime, &runner, out, &bans),
-            Ask::Told(call_back) => told(&runtime, &call_back),
+pub async fn carry_out(runtime: Rc<Runtime>, mut asked: UnboundedReceiver<OperationRequest>, bans: PathBuf) {
+    while let Some(OperationRequest { operation, reply }) = asked.recv().await {
+        let done = match operation {
+            Operation::SetDisabled { runner, disabled } => by_hand(&runtime, &runner, disabled, &bans),
+            Operation::CallBack(call_back) => told(&runtime, &call_back),
         };
         // Fails only if the caller was answered already: its time was over.
         let _ = reply.send(done);
@@ -44,7 +44,7 @@
         return Err("no job of that id is under way here".to_owned());
     }
     log::debug!("request {}: a call-back was handed on", told.id);
-    callbacks::take(runtime, told);
+    callbacks::apply(runtime, told);
     Ok(())
 }
 
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -11,7 +11,7 @@
 use sablerun_node::limits::Limits;
 use sablerun_node::net::faktory::Faktory;
 use sablerun_node::net::platform;
-use sablerun_node::net::platform::ending::Ending;
+use sablerun_node::net::platform::shutdown::Shutdown;
 use sablerun_node::operator::Operator;
 use sablerun_node::runtime::Clock;
 use sablerun_node::{assembly, bans, cli, jobs_cli, logging, net, publisher, snapshots};
@@ -104,11 +104,11 @@
         Err(_) => config.admin_addr,
     };
     let door =
-        admin.map(|at| net::door::open(at).map_err(|e| format!("admin_addr: {at}: {e}"))).transpose()?;
+        admin.map(|at| net::admin::bind(at).map_err(|e| format!("admin_addr: {at}: {e}"))).transpose()?;
 
     let (_, roster) = assembly::join(&runtime);
     if let Some(digest) = &digest {
-        net::digest::Digest::start(&runtime, digest);
+        net::digest::DigestSubscriber::start(&runtime, digest);
     }
     let backlog = runtime.limits.backlog;
     let second = gateway.map(|gateway| {
@@ -121,7 +121,7 @@
     // takes it over, and no connection finds nobody listening in between.
     let inherited = std::env::var("NODE_LISTEN_FD").ok();
     let listener = match &inherited {
-        Some(fd) => net::inherit::take(fd)?,
+        Some(fd) => net::socket_activation::listener_from_fd(fd)?,
         None => {
             platform::listen(config.listen, backlog).map_err(|e| format!("listen: {}: {e}", config.listen))?
         }
@@ -135,8 +135,8 @@
     if let Some(door) = door {
         let at = door.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
         let (asks, asked) = tokio::sync::mpsc::unbounded_channel();
-        let limits = net::door::DoorLimits::default();
-        net::door::start(door, runtime.figures.clone(), asks, limits)
+        let limits = net::admin::AdminLimits::default();
+        net::admin::start(door, runtime.figures.clone(), asks, limits)
             .map_err(|e| format!("admin_addr: {e}"))?;
         let place = bans::place();
         follow_bans(&runtime, &place);
@@ -150,8 +150,8 @@
             }
         });
         // Once the door is served, so that whoever reads the register is answered.
-        match net::peers::Peers::register(std::env::temp_dir(), at, runtime.limits.hand_on) {
-            Ok(peers) => front.hand_on_to(peers),
+        match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.hand_on) {
+            Ok(peers) => front.forward_call_backs_to(peers),
             Err(e) => log::warn!("call-backs of an upgrade are not handed on: $TMPDIR: {e}"),
         }
         log::info!("operators' door on {at}");
@@ -165,7 +165,7 @@
             listener.local_addr().map_or_else(|e| e.to_string(), |at| at.to_string())
         );
         runtime.add_link(front.clone());
-        actix_rt::spawn(front.clone().look_after());
+        actix_rt::spawn(front.clone().run_maintenance());
         actix_rt::spawn(front.clone().serve(listener));
         front
     });
@@ -206,7 +206,7 @@
     runtime.feed(Input::StopAt(runtime.clock.now() + sr::Span(stop.as_nanos() as u64)));
     let shared = inherited.is_some();
     let spell = if shared { Duration::ZERO } else { spell };
-    front.end(Ending::new(spell, stop, runtime.limits.flush), shared).await;
+    front.shut_down(Shutdown::new(spell, stop, runtime.limits.flush), shared).await;
     if let Some(writing) = writing {
         writing.abort();
         let _ = writing.await;
--- a/node/src/net/door.rs
+++ b/node/src/net/admin.rs
@@ -17,7 +17,7 @@
 
 /// A call at the door.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     /// Whether this process is ready to serve.
     Ready,
     /// The figures, a line each, then `END`.
@@ -27,53 +27,53 @@
     /// The runner takes work again.
     Enable(String),
     /// A runner's call-back that reached the other process of an upgrade, as JSON.
-    Told(String),
+    CallBack(String),
 }
 
 /// Sizes and times of the door.
 #[derive(Clone, Copy, Debug)]
-pub struct DoorLimits {
+pub struct AdminLimits {
     /// Longest call, its newline included, in bytes.
-    pub line: usize,
+    pub max_line_bytes: usize,
     /// Longest call that hands a call-back on: a body of the protocol and as much again for its escapes.
-    pub told: usize,
+    pub max_call_back_bytes: usize,
     /// Time for a whole call from the connection's start; then a half call is answered with `ERR`.
-    pub call: Duration,
+    pub read_timeout: Duration,
     /// Time for the serving thread to carry out a call.
-    pub serving: Duration,
+    pub execute_timeout: Duration,
     /// Time for an answer to be written.
-    pub write: Duration,
+    pub write_timeout: Duration,
     /// Connections served at once; the others are answered `ERR busy` at once.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
-impl Default for DoorLimits {
-    fn default() -> DoorLimits {
+impl Default for AdminLimits {
+    fn default() -> AdminLimits {
         // Every answer is due within 1 s of the call: a call gets 0.9 s to arrive whole, and a change
         // 0.8 s on the serving thread.
-        DoorLimits {
-            line: 256,
-            told: 128 * 1024,
-            call: Duration::from_millis(900),
-            serving: Duration::from_millis(800),
-            write: Duration::from_secs(1),
-            connections: 32,
+        AdminLimits {
+            max_line_bytes: 256,
+            max_call_back_bytes: 128 * 1024,
+            read_timeout: Duration::from_millis(900),
+            execute_timeout: Duration::from_millis(800),
+            write_timeout: Duration::from_secs(1),
+            max_connections: 32,
         }
     }
 }
 
 /// What the serving thread is asked to do.
 #[derive(Debug)]
-pub enum Ask {
+pub enum Operation {
     /// Take a runner out (`out`) or put it back.
-    Hand { runner: String, out: bool },
+    SetDisabled { runner: String, disabled: bool },
     /// Take a runner's call-back on a job of this process.
-    Told(String),
+    CallBack(String),
 }
 
 /// A call for the serving thread, and where its result goes.
-pub struct Asked {
-    pub ask: Ask,
+pub struct OperationRequest {
+    pub operation: Operation,
     pub reply: oneshot::Sender<Result<(), String>>,
 }
 
@@ -82,10 +82,10 @@
 /// # Errors
 ///
 /// The words of an `ERR` answer that say what is wrong with it.
-pub fn parse(line: &[u8]) -> Result<Call, String> {
+pub fn parse(line: &[u8]) -> Result<Command, String> {
     let line = std::str::from_utf8(line).map_err(|_| "the call is not UTF-8".to_owned())?;
     if let Some(call_back) = line.strip_prefix("TOLD ") {
-        return Ok(Call::Told(call_back.trim_end().to_owned()));
+        return Ok(Command::CallBack(call_back.trim_end().to_owned()));
     }
     let mut words = line.split_ascii_whitespace();
     let verb = words.next().ok_or("empty call: say READY, STATS, DISABLE ID or ENABLE ID")?;
@@ -93,22 +93,22 @@
     if words.next().is_some() {
         return Err(format!("{verb}: too many words"));
     }
-    let runner = |make: fn(String) -> Call| match id {
+    let runner = |make: fn(String) -> Command| match id {
         Some(id) => Ok(make(id.to_owned())),
         None => Err(format!("{verb}: which runner? say {verb} ID")),
     };
     match (verb.to_ascii_uppercase().as_str(), id) {
-        ("READY", None) => Ok(Call::Ready),
-        ("STATS", None) => Ok(Call::Stats),
+        ("READY", None) => Ok(Command::Ready),
+        ("STATS", None) => Ok(Command::Stats),
         ("READY" | "STATS", Some(_)) => Err(format!("{verb} takes no argument")),
-        ("DISABLE", _) => runner(Call::Disable),
-        ("ENABLE", _) => runner(Call::Enable),
+        ("DISABLE", _) => runner(Command::Disable),
+        ("ENABLE", _) => runner(Command::Enable),
         _ => Err(format!("unknown call {verb:?}: say READY, STATS, DISABLE ID or ENABLE ID")),
     }
 }
 
 /// Binds the door's address; before anything serves, so that a wrong address stops the start.
-pub fn open(at: SocketAddr) -> io::Result<std::net::TcpListener> {
+pub fn bind(at: SocketAddr) -> io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
@@ -118,14 +118,14 @@
 pub fn start(
     listener: std::net::TcpListener,
     figures: Arc<Figures>,
-    asks: mpsc::UnboundedSender<Asked>,
-    limits: DoorLimits,
+    asks: mpsc::UnboundedSender<OperationRequest>,
+    limits: AdminLimits,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     std::thread::Builder::new().name("door".to_owned()).spawn(move || {
         runtime.block_on(async move {
             let Ok(listener) = TcpListener::from_std(listener) else { return };
-            let room = Arc::new(Semaphore::new(limits.connections));
+            let room = Arc::new(Semaphore::new(limits.max_connections));
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
                     // Out of descriptors, most likely: later there may be one.
@@ -139,7 +139,7 @@
                             .await;
                     };
                     let reply = match read_call(&stream, limits).await {
-                        Ok(call) => carry_out(call, &figures, &asks, limits).await,
+                        Ok(call) => execute(call, &figures, &asks, limits).await,
                         Err(why) => format!("ERR {why}\n"),
                     };
                     answer(stream, &reply, limits).await;
@@ -152,9 +152,9 @@
 
 /// Reads one line, within the size and the time of a call. A caller that ends its side after a call
 /// without a newline has said it whole.
-async fn read_call(stream: &TcpStream, limits: DoorLimits) -> Result<Call, String> {
+async fn read_call(stream: &TcpStream, limits: AdminLimits) -> Result<Command, String> {
     let mut line = Vec::with_capacity(64);
-    let deadline = tokio::time::Instant::now() + limits.call;
+    let deadline = tokio::time::Instant::now() + limits.read_timeout;
     loop {
         let mut chunk = [0u8; 4096];
         let read = tokio::time::timeout_at(deadline, async {
@@ -166,12 +166,12 @@
         });
         let got = match read.await {
             Err(_) if line.is_empty() => {
-                return Err(format!("no call within {} ms", limits.call.as_millis()));
+                return Err(format!("no call within {} ms", limits.read_timeout.as_millis()));
             }
             Err(_) => {
                 return Err(format!(
                     "the call was not ended by a newline within {} ms",
-                    limits.call.as_millis()
+                    limits.read_timeout.as_millis()
                 ));
             }
             Ok(Err(e)) => return Err(format!("the call could not be read: {e}")),
@@ -182,7 +182,8 @@
         let chunk = &chunk[..got];
         let end = chunk.iter().position(|b| *b == b'\n');
         line.extend_from_slice(&chunk[..end.map_or(chunk.len(), |at| at + 1)]);
-        let most = if line.starts_with(b"TOLD ") { limits.told } else { limits.line };
+        let most =
+            if line.starts_with(b"TOLD ") { limits.max_call_back_bytes } else { limits.max_line_bytes };
         if line.len() > most {
             return Err(format!("the call is longer than {most} bytes"));
         }
@@ -192,35 +193,37 @@
     }
 }
 
-pub async fn carry_out(
-    call: Call,
+pub async fn execute(
+    call: Command,
     figures: &Figures,
-    asks: &mpsc::UnboundedSender<Asked>,
-    limits: DoorLimits,
+    asks: &mpsc::UnboundedSender<OperationRequest>,
+    limits: AdminLimits,
 ) -> String {
-    let ask = match call {
-        Call::Ready if figures.ready.load(Relaxed) => return "OK ready\n".to_owned(),
-        Call::Ready => return "ERR not ready: starting or ending\n".to_owned(),
-        Call::Stats => return format!("OK\n{}END\n", figures.page()),
-        Call::Disable(runner) => Ask::Hand { runner, out: true },
-        Call::Enable(runner) => Ask::Hand { runner, out: false },
-        Call::Told(call_back) => Ask::Told(call_back),
+    let operation = match call {
+        Command::Ready if figures.ready.load(Relaxed) => return "OK ready\n".to_owned(),
+        Command::Ready => return "ERR not ready: starting or ending\n".to_owned(),
+        Command::Stats => return format!("OK\n{}END\n", figures.page()),
+        Command::Disable(runner) => Operation::SetDisabled { runner, disabled: true },
+        Command::Enable(runner) => Operation::SetDisabled { runner, disabled: false },
+        Command::CallBack(call_back) => Operation::CallBack(call_back),
     };
     let (reply, told) = oneshot::channel();
-    if asks.send(Asked { ask, reply }).is_err() {
+    if asks.send(OperationRequest { operation, reply }).is_err() {
         return "ERR the dispatcher is ending\n".to_owned();
     }
-    match tokio::time::timeout(limits.serving, told).await {
+    match tokio::time::timeout(limits.execute_timeout, told).await {
         Ok(Ok(Ok(()))) => "OK\n".to_owned(),
         Ok(Ok(Err(why))) => format!("ERR {why}\n"),
         Ok(Err(_)) => "ERR the dispatcher is ending\n".to_owned(),
-        Err(_) => format!("ERR not carried out within {} ms: call again\n", limits.serving.as_millis()),
+        Err(_) => {
+            format!("ERR not carried out within {} ms: call again\n", limits.execute_timeout.as_millis())
+        }
     }
 }
 
 /// Writes the answer and closes; a caller that does not read it in time is let go.
-async fn answer(mut stream: TcpStream, reply: &str, limits: DoorLimits) {
-    let written = tokio::time::timeout(limits.write, async {
+async fn answer(mut stream: TcpStream, reply: &str, limits: AdminLimits) {
+    let written = tokio::time::timeout(limits.write_timeout, async {
         stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     });
--- a/node/src/net/callbacks.rs
+++ b/node/src/net/callbacks.rs
@@ -22,7 +22,7 @@
 }
 
 /// Lets the core know what a runner tells.
-pub fn take(runtime: &Runtime, told: CallBack) {
+pub fn apply(runtime: &Runtime, told: CallBack) {
     let CallBack { id, from, state, .. } = told;
     let outcome = match state.as_str() {
         "started" => return runtime.feed(Input::Started { id, from }),
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -21,7 +21,7 @@
 const WAITS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
 /// The link.
-pub struct Digest {
+pub struct DigestSubscriber {
     runtime: Weak<Runtime>,
     client: Client,
     at: SocketAddr,
@@ -29,11 +29,11 @@
     anew: Notify,
 }
 
-impl Digest {
+impl DigestSubscriber {
     /// Follows the digest that the operator's file names, until the program ends.
     pub fn start(runtime: &Rc<Runtime>, section: &operator::Digest) {
         let pool = Pool::new(&runtime.limits);
-        let digest = Rc::new(Digest {
+        let digest = Rc::new(DigestSubscriber {
             runtime: Rc::downgrade(runtime),
             client: pool.client(&runtime.limits),
             at: section.at,
@@ -81,7 +81,7 @@
     }
 }
 
-impl Digests for Digest {
+impl Digests for DigestSubscriber {
     fn ask_whole(&self) {
         self.anew.notify_one();
     }
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -6,9 +6,9 @@
 
 use crate::core::{Input, Listed, Source};
 use crate::net::hosts::Hosts;
+use crate::net::json_stream::JsonStream;
 use crate::net::loss::{Due, Loss, Lost};
-use crate::net::objects::Objects;
-use crate::net::runners::{Pool, Runners};
+use crate::net::runners::{Pool, RunnerLink};
 use crate::runtime::{Roster, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
@@ -20,9 +20,9 @@
 use tokio::task::AbortHandle;
 
 /// The way to discovery.
-pub struct Discovery {
+pub struct DiscoveryClient {
     runtime: Weak<Runtime>,
-    runners: Rc<Runners>,
+    runners: Rc<RunnerLink>,
     client: Client,
     seq: Cell<u64>,
     /// Where `seq` was told, how often that has changed, the number of the watch that counts, and that watch.
@@ -37,13 +37,13 @@
     /// Earlier watches that have not ended, until the new one tells something: what an old address still
     /// tells binds too, a silent watch may only be late, and nothing may fall between the two.
     before: RefCell<Vec<AbortHandle>>,
-    this: Weak<Discovery>,
+    this: Weak<DiscoveryClient>,
 }
 
-impl Discovery {
-    pub fn new(runtime: &Rc<Runtime>, runners: &Rc<Runners>) -> Rc<Discovery> {
+impl DiscoveryClient {
+    pub fn new(runtime: &Rc<Runtime>, runners: &Rc<RunnerLink>) -> Rc<DiscoveryClient> {
         let pool = Pool::new(&runtime.limits);
-        Rc::new_cyclic(|this| Discovery {
+        Rc::new_cyclic(|this| DiscoveryClient {
             runtime: Rc::downgrade(runtime),
             runners: runners.clone(),
             client: pool.client(&runtime.limits),
@@ -60,7 +60,7 @@
     }
 
     /// Takes a list or a change of it.
-    pub fn take(&self, kind: sr::ListKind, hosts: Hosts) {
+    pub fn apply_list(&self, kind: sr::ListKind, hosts: Hosts) {
         self.seq.set(hosts.seq);
         self.list(kind, hosts);
     }
@@ -84,7 +84,7 @@
         for host in hosts.hosts {
             let standing = host.standing();
             match host.dial.parse() {
-                Ok(at) => self.runners.address(&host.host, at),
+                Ok(at) => self.runners.set_address(&host.host, at),
                 Err(e) if standing == sr::Standing::Ready => {
                     log::warn!("discovery: address {:?} of runner {}: {e}", host.dial, host.host);
                     continue;
@@ -114,7 +114,7 @@
         let kind = if hosts.whole { sr::ListKind::Full } else { sr::ListKind::Delta };
         match self.moves.get() == moves {
             true if self.overtaken(asked, &hosts) => log::debug!("list {kind:?} {}: overtaken", hosts.seq),
-            true => self.take(kind, hosts),
+            true => self.apply_list(kind, hosts),
             // Its versions are another address's.
             false => self.list(kind, hosts),
         }
@@ -138,7 +138,7 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        let (mut objects, mut heard) = (Objects::new(limits.watch_line), false);
+        let (mut objects, mut heard) = (JsonStream::new(limits.watch_line), false);
         loop {
             let told = due.wait(response.next(), || match heard {
                 true => late("silent", Lost::Silent),
@@ -196,7 +196,7 @@
     }
 }
 
-impl Roster for Discovery {
+impl Roster for DiscoveryClient {
     fn subscribe(&self, at: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
         let moved = self.at.replace(Some(at)).is_some_and(|before| before != at);
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -30,7 +30,7 @@
 /// The section `faktory` of the operator's file.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Gateway {
+pub struct FaktoryConfig {
     pub listen: SocketAddr,
     /// No TLS and no identities; said so on purpose.
     #[serde(default)]
@@ -138,7 +138,7 @@
     }
 }
 
-impl Gateway {
+impl FaktoryConfig {
     /// Whether the file makes sense with these settings.
     ///
     /// # Errors
@@ -262,7 +262,7 @@
 /// The front.
 pub struct Faktory {
     runtime: Rc<Runtime>,
-    gateway: Gateway,
+    gateway: FaktoryConfig,
     password: Option<String>,
     identities: Option<Arc<Identities>>,
     workers: RefCell<HashMap<String, Worker>>,
@@ -296,7 +296,7 @@
     /// # Errors
     ///
     /// Names the key at fault.
-    pub fn new(runtime: &Rc<Runtime>, gateway: Gateway) -> Result<Rc<Faktory>, String> {
+    pub fn new(runtime: &Rc<Runtime>, gateway: FaktoryConfig) -> Result<Rc<Faktory>, String> {
         let read = |path: &PathBuf| {
             let text = std::fs::read_to_string(path);
             text.map_err(|e| format!("password_file: {}: {e}", path.display()))
@@ -341,12 +341,12 @@
             actix_rt::spawn(async move {
                 let _closed = Counted(front.clone());
                 match acceptor {
-                    None => front.clone().converse(stream, front.plain_peer(from)).await,
+                    None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
                         let shaken = tokio::time::timeout(front.runtime.limits.head, acceptor.accept(stream));
                         match shaken.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
-                                Ok(peer) => front.converse(stream, peer).await,
+                                Ok(peer) => front.serve_connection(stream, peer).await,
                                 Err(why) => log::warn!("faktory: peer at {from} refused: {why}"),
                             },
                             Ok(Err(e)) => log::warn!("faktory: no TLS with {from}: {e}"),
@@ -359,7 +359,7 @@
     }
 
     /// Looks after what time alone brings about: workers without beats, files that rotated.
-    pub async fn look_after(self: Rc<Self>) {
+    pub async fn run_maintenance(self: Rc<Self>) {
         let limit = Duration::from_secs_f64(self.gateway.beat_limit_s);
         let reload = self.gateway.tls.as_ref().map_or(f64::MAX, |tls| tls.reload_s);
         let sweep = self.runtime.limits.sweep.as_secs_f64();
@@ -399,7 +399,7 @@
         }
     }
 
-    pub fn plain_peer(&self, from: SocketAddr) -> Peer {
+    pub fn plaintext_peer(&self, from: SocketAddr) -> Peer {
         let name = from.ip().to_string();
         Peer { name, client: true, worker: true, member: None, zone: None, kind: None }
     }
@@ -424,7 +424,7 @@
 
     // ---- conversations ----
 
-    pub async fn converse<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
+    pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
         self.numbers.set(self.numbers.get() + 1);
         let number = self.numbers.get();
         let Limits { frame: most, body_wait: pace, .. } = self.runtime.limits;
--- a/node/src/net/objects.rs
+++ b/node/src/net/json_stream.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 
 /// What has come of a stream of objects and was not taken yet.
-pub struct Objects {
+pub struct JsonStream {
     bytes: BytesMut,
     most: usize,
     /// Something has come since the last try that may end an object.
@@ -15,10 +15,10 @@
     line: bool,
 }
 
-impl Objects {
+impl JsonStream {
     /// Holds so many bytes of an unfinished object at the most.
-    pub fn new(most: usize) -> Objects {
-        Objects { bytes: BytesMut::new(), most, may_end: false, line: false }
+    pub fn new(most: usize) -> JsonStream {
+        JsonStream { bytes: BytesMut::new(), most, may_end: false, line: false }
     }
 
     /// Takes the next bytes.
--- a/node/src/net/peers.rs
+++ b/node/src/net/peers.rs
@@ -17,17 +17,17 @@
 
 /// What became of a call-back that was handed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Handed {
+pub enum Forwarded {
     /// A process that has the job took it.
-    Taken,
+    Accepted,
     /// There is no other process, or none that has the job.
-    Nowhere,
+    NoOwner,
     /// Another process is there but did not answer in time: it may have the job.
-    Unreached,
+    Unreachable,
 }
 
 /// The register, with this process's own entry.
-pub struct Peers {
+pub struct PeerRegistry {
     folder: PathBuf,
     own: SocketAddr,
     /// Call-backs being handed on at once: a door serves only so many callers.
@@ -37,15 +37,15 @@
     most: Duration,
 }
 
-impl Peers {
+impl PeerRegistry {
     /// Enters this process's door.
     ///
     /// # Errors
     ///
     /// The folder can't be written.
-    pub fn register(folder: PathBuf, own: SocketAddr, call: Duration) -> io::Result<Peers> {
+    pub fn register(folder: PathBuf, own: SocketAddr, call: Duration) -> io::Result<PeerRegistry> {
         std::fs::write(folder.join(format!("{PREFIX}{own}")), "")?;
-        Ok(Peers { folder, own, seats: Semaphore::new(8), call, most: call * 3 })
+        Ok(PeerRegistry { folder, own, seats: Semaphore::new(8), call, most: call * 3 })
     }
 
     /// The other doors, as the register names them.
@@ -57,19 +57,19 @@
     }
 
     /// Hands a call-back on to whichever other process has its job.
-    pub async fn hand_on(&self, call_back: &str) -> Handed {
+    pub async fn forward(&self, call_back: &str) -> Forwarded {
         let others = self.others();
         if others.is_empty() {
-            return Handed::Nowhere;
+            return Forwarded::NoOwner;
         }
-        let Ok(_seat) = self.seats.acquire().await else { return Handed::Unreached };
+        let Ok(_seat) = self.seats.acquire().await else { return Forwarded::Unreachable };
         let tries = async {
             let mut waiting = others;
             loop {
                 let mut left = Vec::new();
                 for door in waiting {
                     match tokio::time::timeout(self.call, told(door, call_back)).await {
-                        Ok(Ok(answer)) if answer.starts_with("OK") => return Handed::Taken,
+                        Ok(Ok(answer)) if answer.starts_with("OK") => return Forwarded::Accepted,
                         Ok(Ok(answer)) if !answer.starts_with("ERR busy") && !answer.is_empty() => {}
                         // Nobody listens there: a process that was killed could not take itself off.
                         Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => self.strike(door),
@@ -77,17 +77,17 @@
                     }
                 }
                 if left.is_empty() {
-                    return Handed::Nowhere;
+                    return Forwarded::NoOwner;
                 }
                 waiting = left;
                 tokio::time::sleep(self.call / 10).await;
             }
         };
-        tokio::time::timeout(self.most, tries).await.unwrap_or(Handed::Unreached)
+        tokio::time::timeout(self.most, tries).await.unwrap_or(Forwarded::Unreachable)
     }
 
     /// Takes this process's door off the register.
-    pub fn leave(&self) {
+    pub fn unregister(&self) {
         self.strike(self.own);
     }
 
@@ -96,9 +96,9 @@
     }
 }
 
-impl Drop for Peers {
+impl Drop for PeerRegistry {
     fn drop(&mut self) {
-        self.leave();
+        self.unregister();
     }
 }
 
--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -4,14 +4,14 @@
 
 mod closing;
 mod connection;
-pub mod ending;
 mod head;
-pub mod life;
+pub mod lifecycle;
 mod reply;
 mod requests;
+pub mod shutdown;
 mod stream;
 
-use crate::net::peers::Peers;
+use crate::net::peers::PeerRegistry;
 use crate::net::platform::connection::Connection;
 use crate::net::platform::stream::{Guarded, farewell};
 use crate::runtime::Runtime;
@@ -47,7 +47,7 @@
     /// Who wants to know first how many wait to be accepted.
     look: RefCell<Option<oneshot::Sender<usize>>>,
     /// Where call-backs about another process's jobs go, while a process replaces another.
-    peers: RefCell<Option<Rc<Peers>>>,
+    peers: RefCell<Option<Rc<PeerRegistry>>>,
 }
 
 impl Front {
@@ -149,14 +149,14 @@
     }
 
     /// Hands call-backs about jobs that are not known here on to the other processes of this register.
-    pub fn hand_on_to(&self, peers: Peers) {
+    pub fn forward_call_backs_to(&self, peers: PeerRegistry) {
         *self.peers.borrow_mut() = Some(Rc::new(peers));
     }
 
     /// Nothing is under way here any more: others hand nothing on to this process, which still does.
-    pub fn leave_register(&self) {
+    pub fn unregister(&self) {
         if let Some(peers) = &*self.peers.borrow() {
-            peers.leave();
+            peers.unregister();
         }
     }
 }
--- a/node/src/net/platform/closing.rs
+++ b/node/src/net/platform/closing.rs
@@ -3,8 +3,8 @@
 
 use crate::net::platform::Front;
 use crate::net::platform::connection::{Carried, Connection};
-use crate::net::platform::ending::{Ending, Phase, Seen};
-use crate::net::platform::life::{Leave, Stage};
+use crate::net::platform::lifecycle::{CloseMode, Stage};
+use crate::net::platform::shutdown::{Observation, Phase, Shutdown};
 use std::rc::Rc;
 use std::time::Instant;
 use tokio::sync::oneshot;
@@ -22,7 +22,10 @@
             let mut spare: Vec<_> =
                 connections.values().filter_map(|(c, _)| Some((c.rank(limits)?, c))).collect();
             spare.sort_by_key(|(rank, _)| *rank);
-            spare.iter().take(wanted - leaving).for_each(|(_, connection)| connection.ask(Leave::Now));
+            spare
+                .iter()
+                .take(wanted - leaving)
+                .for_each(|(_, connection)| connection.ask(CloseMode::Immediate));
         }
         if connections.len() >= limits.clients {
             // Its last answer has been out for a while, and its client does not end its side.
@@ -46,48 +49,48 @@
     /// The way to the program's end. A shared socket has a successor behind it: new connections are its,
     /// at once, and clients leave idle ones for it. Else the platform needs a spell to notice, in which
     /// clients find this process as usual.
-    pub async fn end(&self, mut ending: Ending, shared: bool) {
+    pub async fn shut_down(&self, mut ending: Shutdown, shared: bool) {
         let told = Instant::now();
         if shared {
             self.stop_accepting();
         }
-        let mut seen = Seen::default();
+        let mut seen = Observation::default();
         loop {
             let before = ending.phase();
-            seen.since = told.elapsed();
-            seen.under_way = self.runtime.open() + self.under_way();
+            seen.elapsed = told.elapsed();
+            seen.active = self.runtime.open() + self.under_way();
             seen.connections = self.connections.borrow().len();
             match ending.step(&seen) {
-                Phase::LettingGo if before == Phase::AsUsual => {
+                Phase::Draining if before == Phase::Serving => {
                     log::info!("lets clients go: {}", self.runtime.summary());
                     self.runtime.stop();
                     // But not runners, whose call-backs the jobs under way still need.
-                    self.ask_all(|c| c.carried.get() == Carried::Requests, Leave::Soon);
+                    self.ask_all(|c| c.carried.get() == Carried::Requests, CloseMode::Graceful);
                 }
-                Phase::LastLook => seen.queued = if shared { 0 } else { self.last_look().await },
-                Phase::Closing if before == Phase::LastLook => {
-                    self.leave_register();
+                Phase::FinalAccept => seen.accepted = if shared { 0 } else { self.last_look().await },
+                Phase::Closing if before == Phase::FinalAccept => {
+                    self.unregister();
                     self.ask_all(
-                        |c| matches!(c.life.get().stage(), Stage::Fresh | Stage::Resting),
-                        Leave::Now,
+                        |c| matches!(c.life.get().stage(), Stage::New | Stage::Idle),
+                        CloseMode::Immediate,
                     );
-                    self.ask_all(|_| true, Leave::Soon);
+                    self.ask_all(|_| true, CloseMode::Graceful);
                 }
-                Phase::Over => return,
+                Phase::Done => return,
                 _ => {}
             }
-            let pause = ending.next_look().saturating_sub(told.elapsed());
+            let pause = ending.next_check().saturating_sub(told.elapsed());
             tokio::time::sleep(pause.max(self.runtime.limits.look)).await;
         }
     }
 
-    fn ask_all(&self, whom: impl Fn(&Connection) -> bool, how: Leave) {
+    fn ask_all(&self, whom: impl Fn(&Connection) -> bool, how: CloseMode) {
         self.connections.borrow().values().filter(|(c, _)| whom(c)).for_each(|(c, _)| c.ask(how));
     }
 
     /// Connections with something being read or written.
     fn under_way(&self) -> usize {
-        self.connections.borrow().values().filter(|(c, _)| c.life.get().under_way()).count()
+        self.connections.borrow().values().filter(|(c, _)| c.life.get().is_active()).count()
     }
 
     /// Accepts whoever waits for it; how many. If nobody does, the listener closes in the same breath.
--- a/node/src/net/platform/connection.rs
+++ b/node/src/net/platform/connection.rs
@@ -2,7 +2,7 @@
 //! be spared. It must never read, write or close anything.
 
 use crate::limits::Limits;
-use crate::net::platform::life::{Leave, Life, Stage};
+use crate::net::platform::lifecycle::{CloseMode, Lifecycle, Stage};
 use std::cell::{Cell, RefCell};
 use std::task::Waker;
 use std::time::Instant;
@@ -18,7 +18,7 @@
 
 /// One accepted connection.
 pub(super) struct Connection {
-    pub life: Cell<Life>,
+    pub life: Cell<Lifecycle>,
     /// What came over it so far.
     pub carried: Cell<Carried>,
     /// When it was opened, last read from or last written to.
@@ -41,7 +41,7 @@
     }
 
     /// Changes where it stands.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Life) -> T) -> T {
+    pub fn change<T>(&self, change: impl FnOnce(&mut Lifecycle) -> T) -> T {
         let mut life = self.life.get();
         let result = change(&mut life);
         self.life.set(life);
@@ -49,8 +49,8 @@
     }
 
     /// Asks it to leave; its reader sees to it.
-    pub fn ask(&self, how: Leave) {
-        self.change(|life| life.ask(how));
+    pub fn ask(&self, how: CloseMode) {
+        self.change(|life| life.request_close(how));
         if let Some(reader) = &*self.reader.borrow() {
             reader.wake_by_ref();
         }
@@ -58,12 +58,12 @@
 
     /// Its answers have been written: what is left of it is its end.
     pub fn ends(&self) -> bool {
-        self.life.get().stage() == Stage::Shut
+        self.life.get().stage() == Stage::Closed
     }
 
     /// It is on its way out, or asked to go at once.
     pub fn leaves(&self) -> bool {
-        self.ends() || self.life.get().leave() == Some(Leave::Now)
+        self.ends() || self.life.get().close_requested() == Some(CloseMode::Immediate)
     }
 
     /// Who goes first, and among those the one that has rested the longest, where there is no room.
@@ -73,9 +73,9 @@
         let (touched, rested) = (self.touched.get(), self.touched.get().elapsed());
         let (rank, least) = match (self.life.get().stage(), self.carried.get()) {
             _ if self.leaves() => return None,
-            (Stage::Given | Stage::Body(_) | Stage::Busy, _) => return None,
+            (Stage::HeadRead | Stage::ReadingBody(_) | Stage::AwaitingResponse, _) => return None,
             // Its client takes nothing of the answer.
-            (Stage::Flushing, _) => (0, limits.head),
+            (Stage::WritingResponse, _) => (0, limits.head),
             (_, Carried::Nothing) => (1, limits.silent),
             (_, Carried::Requests) => (2, limits.sweep),
             (_, Carried::CallBacks) => (3, limits.sweep),
--- a/node/src/net/platform/life.rs
+++ b/node/src/net/platform/lifecycle.rs
@@ -7,35 +7,35 @@
 pub enum Stage {
     /// Accepted; nothing of a request has been read.
     #[default]
-    Fresh,
+    New,
     /// A head is begun.
-    Head,
+    ReadingHead,
     /// A whole head was handed on; what request it is has not been said yet.
-    Given,
+    HeadRead,
     /// So many bytes of the request's body are to come; `None` where its own framing ends it.
-    Body(Option<usize>),
+    ReadingBody(Option<usize>),
     /// The request was read whole and has no answer yet.
-    Busy,
+    AwaitingResponse,
     /// The answer is being written.
-    Flushing,
+    WritingResponse,
     /// Between two requests.
-    Resting,
+    Idle,
     /// Nothing is read as a request any more.
-    Shut,
+    Closed,
 }
 
 /// How a connection is asked to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Leave {
+pub enum CloseMode {
     /// After what is under way, or may be.
-    Soon,
+    Graceful,
     /// There is no room: whoever has nothing under way goes now.
-    Now,
+    Immediate,
 }
 
 /// A head longer than allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong;
+pub struct HeadTooLong;
 
 /// How far into a head the bytes read so far go.
 #[derive(Clone, Copy, Debug, Default)]
@@ -65,30 +65,30 @@
 
 /// A connection's life.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Life {
+pub struct Lifecycle {
     stage: Stage,
     scan: Scan,
-    leave: Option<Leave>,
+    leave: Option<CloseMode>,
     /// The request under way is the connection's last.
     last: bool,
     /// Asked to go now while its client took nothing of an answer.
     stuck: bool,
 }
 
-impl Life {
+impl Lifecycle {
     /// Where it stands.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
     /// How it was asked to leave, if it was.
-    pub fn leave(&self) -> Option<Leave> {
+    pub fn close_requested(&self) -> Option<CloseMode> {
         self.leave
     }
 
     /// Something is being read, awaited by a client, or written.
-    pub fn under_way(&self) -> bool {
-        !matches!(self.stage, Stage::Resting | Stage::Shut)
+    pub fn is_active(&self) -> bool {
+        !matches!(self.stage, Stage::Idle | Stage::Closed)
     }
 
     /// How many of these bytes may be parsed now. Never more than one message: what is behind a request
@@ -97,90 +97,90 @@
     /// # Errors
     ///
     /// The head is longer than `most`.
-    pub fn pass(&mut self, held: &[u8], most: usize) -> Result<usize, TooLong> {
+    pub fn pass_to_parser(&mut self, held: &[u8], most: usize) -> Result<usize, HeadTooLong> {
         match &mut self.stage {
-            Stage::Fresh | Stage::Head | Stage::Resting => {
+            Stage::New | Stage::ReadingHead | Stage::Idle => {
                 let (bytes, done) = self.scan.take(held);
                 if self.scan.bytes > most {
-                    return Err(TooLong);
+                    return Err(HeadTooLong);
                 }
                 if done {
-                    self.stage = Stage::Given;
+                    self.stage = Stage::HeadRead;
                 } else if self.scan.begun {
-                    self.stage = Stage::Head;
+                    self.stage = Stage::ReadingHead;
                 }
                 Ok(bytes)
             }
-            Stage::Body(None) => Ok(held.len()),
-            Stage::Body(Some(rest)) => {
+            Stage::ReadingBody(None) => Ok(held.len()),
+            Stage::ReadingBody(Some(rest)) => {
                 let bytes = held.len().min(*rest);
                 *rest -= bytes;
                 if *rest == 0 {
-                    self.stage = Stage::Busy;
+                    self.stage = Stage::AwaitingResponse;
                 }
                 Ok(bytes)
             }
-            Stage::Given | Stage::Busy | Stage::Flushing | Stage::Shut => Ok(0),
+            Stage::HeadRead | Stage::AwaitingResponse | Stage::WritingResponse | Stage::Closed => Ok(0),
         }
     }
 
     /// The head handed on was a request's, with so long a body. False for one that is not this connection's
     /// to serve: it was read past the last answer's end.
-    pub fn begun(&mut self, body: Option<usize>) -> bool {
-        if self.stage != Stage::Given {
+    pub fn request_started(&mut self, body: Option<usize>) -> bool {
+        if self.stage != Stage::HeadRead {
             return false;
         }
-        self.stage = if body == Some(0) { Stage::Busy } else { Stage::Body(body) };
+        self.stage = if body == Some(0) { Stage::AwaitingResponse } else { Stage::ReadingBody(body) };
         // Where a body ends by its own framing, what is behind it may have been read with it.
         self.last = body.is_none();
         true
     }
 
     /// More came behind the request than is kept: nothing after it can be read.
-    pub fn spilt(&mut self) {
+    pub fn discarded_input(&mut self) {
         self.last = true;
     }
 
     /// The request's answer is about to be written, and ends the connection or not; whether it does.
-    pub fn answered(&mut self, close: bool) -> bool {
+    pub fn response_started(&mut self, close: bool) -> bool {
         // A body that is not read whole stands in the way of what follows.
-        self.last |= close || self.leave.is_some() || matches!(self.stage, Stage::Body(_));
-        if self.stage != Stage::Shut {
-            self.stage = Stage::Flushing;
+        self.last |= close || self.leave.is_some() || matches!(self.stage, Stage::ReadingBody(_));
+        if self.stage != Stage::Closed {
+            self.stage = Stage::WritingResponse;
         }
         self.last
     }
 
     /// Everything to be written has been.
-    pub fn flushed(&mut self) {
-        if self.stage == Stage::Flushing {
+    pub fn response_flushed(&mut self) {
+        if self.stage == Stage::WritingResponse {
             self.scan = Scan::default();
-            self.stage = if self.last { Stage::Shut } else { Stage::Resting };
+            self.stage = if self.last { Stage::Closed } else { Stage::Idle };
         }
     }
 
     /// It is to leave.
-    pub fn ask(&mut self, how: Leave) {
+    pub fn request_close(&mut self, how: CloseMode) {
         self.leave = self.leave.max(Some(how));
-        self.stuck |= how == Leave::Now && self.stage == Stage::Flushing;
+        self.stuck |= how == CloseMode::Immediate && self.stage == Stage::WritingResponse;
     }
 
     /// Whether its answer is not waited for any more.
-    pub fn stuck(&self) -> bool {
-        self.stuck && self.stage == Stage::Flushing
+    pub fn write_stalled(&self) -> bool {
+        self.stuck && self.stage == Stage::WritingResponse
     }
 
     /// Whether it may end now, if there is nothing more to read.
-    pub fn may_end(&self) -> bool {
+    pub fn may_close(&self) -> bool {
         match self.stage {
-            Stage::Resting => self.leave.is_some(),
-            Stage::Fresh => self.leave == Some(Leave::Now),
+            Stage::Idle => self.leave.is_some(),
+            Stage::New => self.leave == Some(CloseMode::Immediate),
             _ => false,
         }
     }
 
     /// Nothing is read as a request from now on.
-    pub fn shut(&mut self) {
-        self.stage = Stage::Shut;
+    pub fn close(&mut self) {
+        self.stage = Stage::Closed;
     }
 }
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -5,7 +5,7 @@
 use crate::core::{Answer, Arrival, Input};
 use crate::figures::Counted;
 use crate::net::callbacks::{self, CallBack};
-use crate::net::peers::Handed;
+use crate::net::peers::Forwarded;
 use crate::net::platform::Front;
 use crate::net::platform::connection::{Carried, Connection};
 use crate::net::platform::head::{Head, text};
@@ -26,7 +26,7 @@
         let runners = request.path() == "/v1/job-events";
         let ours = connection.as_ref().is_some_and(|connection| {
             connection.carried.set(if runners { Carried::CallBacks } else { Carried::Requests });
-            connection.change(|life| life.begun(length(&request)))
+            connection.change(|life| life.request_started(length(&request)))
         });
         let reply = match (request.path(), request.method()) {
             // Behind its connection's last answer, where nobody reads another: not taken.
@@ -44,7 +44,7 @@
             response.insert_header((name, value));
         }
         let close = reply.close || self.crowded() || !runners && self.runtime.stopping();
-        if connection.is_none_or(|connection| connection.change(|life| life.answered(close))) {
+        if connection.is_none_or(|connection| connection.change(|life| life.response_started(close))) {
             response.force_close();
         }
         Ok(response.message_body(reply.body).unwrap_or_else(|_| {
@@ -166,15 +166,15 @@
         if let Some(peers) = peers {
             // On one line, as the door takes it: in JSON a line's end is white space only, never in a text.
             let line = String::from_utf8_lossy(&body).replace(['\r', '\n'], " ");
-            return match peers.hand_on(&line).await {
-                Handed::Taken | Handed::Nowhere => Reply::new(StatusCode::OK, ""),
-                Handed::Unreached => {
+            return match peers.forward(&line).await {
+                Forwarded::Accepted | Forwarded::NoOwner => Reply::new(StatusCode::OK, ""),
+                Forwarded::Unreachable => {
                     log::warn!(id = told.id.as_str(); "call-back not handed on: the other process is silent");
                     Reply::new(StatusCode::SERVICE_UNAVAILABLE, "not handed on: tell it again")
                 }
             };
         }
-        callbacks::take(&self.runtime, told);
+        callbacks::apply(&self.runtime, told);
         Reply::new(StatusCode::OK, "")
     }
 }
--- a/node/src/net/platform/ending.rs
+++ b/node/src/net/platform/shutdown.rs
@@ -8,32 +8,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// New connections still come, and clients use those they have.
-    AsUsual,
+    Serving,
     /// Whoever rests is let go, and each answer is its connection's last.
-    LettingGo,
+    Draining,
     /// Nothing is under way: is there anybody who connected and was not accepted?
-    LastLook,
+    FinalAccept,
     /// Nobody is accepted any more, and what is left of the connections ends.
     Closing,
     /// Nothing is left.
-    Over,
+    Done,
 }
 
 /// What there is to see, so long after the word.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    pub since: Duration,
+pub struct Observation {
+    pub elapsed: Duration,
     /// Requests taken and not answered, and connections with something being read or written.
-    pub under_way: usize,
+    pub active: usize,
     /// Connections that were accepted at the last look.
-    pub queued: usize,
+    pub accepted: usize,
     /// Connections that are not closed.
     pub connections: usize,
 }
 
 /// The way to the end.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
+pub struct Shutdown {
     spell: Duration,
     /// When nothing is waited for any more.
     most: Duration,
@@ -43,12 +43,12 @@
     closing: Duration,
 }
 
-impl Ending {
+impl Shutdown {
     /// Everything as usual for the spell, whatever is unanswered answered at `stop`, and `flush` for what
     /// was answered last to go out, and once more for it to arrive.
-    pub fn new(spell: Duration, stop: Duration, flush: Duration) -> Ending {
-        let (phase, closing) = (Phase::AsUsual, Duration::ZERO);
-        Ending { spell, most: stop + flush, flush, phase, closing }
+    pub fn new(spell: Duration, stop: Duration, flush: Duration) -> Shutdown {
+        let (phase, closing) = (Phase::Serving, Duration::ZERO);
+        Shutdown { spell, most: stop + flush, flush, phase, closing }
     }
 
     /// What is done now.
@@ -57,22 +57,24 @@
     }
 
     /// Until when there is nothing to look for.
-    pub fn next_look(&self) -> Duration {
-        if self.phase == Phase::AsUsual { self.spell } else { Duration::ZERO }
+    pub fn next_check(&self) -> Duration {
+        if self.phase == Phase::Serving { self.spell } else { Duration::ZERO }
     }
 
     /// What is to be done, by what there is to see.
-    pub fn step(&mut self, seen: &Seen) -> Phase {
-        let late = seen.since >= self.most;
+    pub fn step(&mut self, seen: &Observation) -> Phase {
+        let late = seen.elapsed >= self.most;
         self.phase = match self.phase {
-            Phase::AsUsual if seen.since >= self.spell => Phase::LettingGo,
-            Phase::LettingGo if late || seen.under_way == 0 => Phase::LastLook,
-            Phase::LastLook if seen.queued > 0 && !late => Phase::LettingGo,
-            Phase::LastLook => {
-                self.closing = seen.since;
+            Phase::Serving if seen.elapsed >= self.spell => Phase::Draining,
+            Phase::Draining if late || seen.active == 0 => Phase::FinalAccept,
+            Phase::FinalAccept if seen.accepted > 0 && !late => Phase::Draining,
+            Phase::FinalAccept => {
+                self.closing = seen.elapsed;
                 Phase::Closing
             }
-            Phase::Closing if seen.connections == 0 || seen.since >= self.closing + self.flush => Phase::Over,
+            Phase::Closing if seen.connections == 0 || seen.elapsed >= self.closing + self.flush => {
+                Phase::Done
+            }
             phase => phase,
         };
         self.phase
--- a/node/src/net/platform/stream.rs
+++ b/node/src/net/platform/stream.rs
@@ -4,7 +4,7 @@
 
 use crate::limits::Limits;
 use crate::net::platform::connection::Connection;
-use crate::net::platform::life::{Leave, Stage, TooLong};
+use crate::net::platform::lifecycle::{CloseMode, HeadTooLong, Stage};
 use actix_codec::{AsyncRead, AsyncWrite, ReadBuf};
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -64,16 +64,17 @@
         let answer = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         // A peer whose window is full of answers it does not read can do without this one.
         let _ = self.stream()?.try_write(answer.as_bytes());
-        self.connection.change(|life| life.shut());
+        self.connection.change(|life| life.close());
         Poll::Ready(Ok(()))
     }
 
     /// Keeps what was read; behind a request no more than a head's worth, so that nobody fills the memory.
     fn keep(&mut self, read: &[u8]) {
         self.connection.touched.set(Instant::now());
-        let behind = matches!(self.connection.life.get().stage(), Stage::Busy | Stage::Flushing);
+        let behind =
+            matches!(self.connection.life.get().stage(), Stage::AwaitingResponse | Stage::WritingResponse);
         if behind && self.held.len() + read.len() > self.head_bytes {
-            self.connection.change(|life| life.spilt());
+            self.connection.change(|life| life.discarded_input());
             self.held.clear();
         } else {
             self.held.extend_from_slice(read);
@@ -133,52 +134,52 @@
         let connection = this.connection.clone();
         loop {
             let ready = this.held.len().min(buf.remaining());
-            let passed = connection.change(|life| life.pass(&this.held[..ready], this.head_bytes));
-            let Ok(passed) = passed.map_err(|TooLong| ()) else {
+            let passed = connection.change(|life| life.pass_to_parser(&this.held[..ready], this.head_bytes));
+            let Ok(passed) = passed.map_err(|HeadTooLong| ()) else {
                 return this.cut("431 Request Header Fields Too Large");
             };
             let stage = connection.life.get().stage();
             if passed > 0 {
                 buf.put_slice(&this.held.split_to(passed));
-                if stage == Stage::Given {
+                if stage == Stage::HeadRead {
                     // Once more after the head is parsed, and it is known how long the body is.
                     cx.waker().wake_by_ref();
                 }
                 return Poll::Ready(Ok(()));
             }
-            if this.ended || stage == Stage::Shut {
+            if this.ended || stage == Stage::Closed {
                 return Poll::Ready(Ok(()));
             }
             // Behind a head nothing is read until it is known what it is.
-            if stage != Stage::Given && this.poll_fill(cx)?.is_ready() {
+            if stage != Stage::HeadRead && this.poll_fill(cx)?.is_ready() {
                 continue;
             }
             let wait = match stage {
-                Stage::Fresh | Stage::Head | Stage::Given => Some(Wait::Head),
-                Stage::Resting => Some(Wait::Rest),
+                Stage::New | Stage::ReadingHead | Stage::HeadRead => Some(Wait::Head),
+                Stage::Idle => Some(Wait::Rest),
                 // The writing looks after its own time.
-                Stage::Flushing => return this.later(cx),
-                Stage::Body(_) | Stage::Busy | Stage::Shut => None,
+                Stage::WritingResponse => return this.later(cx),
+                Stage::ReadingBody(_) | Stage::AwaitingResponse | Stage::Closed => None,
             };
             let late = this.late(wait, cx);
-            if late && stage == Stage::Resting {
-                connection.change(|life| life.ask(Leave::Soon));
+            if late && stage == Stage::Idle {
+                connection.change(|life| life.request_close(CloseMode::Graceful));
             }
             let life = connection.life.get();
-            let pressed = life.leave() == Some(Leave::Now);
+            let pressed = life.close_requested() == Some(CloseMode::Immediate);
             match stage {
-                Stage::Flushing if late || life.stuck() => {
+                Stage::WritingResponse if late || life.write_stalled() => {
                     return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
                 }
-                Stage::Fresh | Stage::Resting if life.may_end() => {
+                Stage::New | Stage::Idle if life.may_close() => {
                     if this.fill_now()? {
                         continue;
                     }
-                    connection.change(|life| life.shut());
+                    connection.change(|life| life.close());
                     return Poll::Ready(Ok(()));
                 }
-                Stage::Fresh | Stage::Given if late => return this.cut("408 Request Timeout"),
-                Stage::Head if late || pressed => {
+                Stage::New | Stage::HeadRead if late => return this.cut("408 Request Timeout"),
+                Stage::ReadingHead if late || pressed => {
                     if this.fill_now()? {
                         continue;
                     }
@@ -196,7 +197,9 @@
         let this = self.get_mut();
         match Pin::new(this.stream()?).poll_write(cx, buf) {
             // Its client takes nothing: not for ever, and not while others want its place.
-            Poll::Pending if this.connection.life.get().stuck() || this.late(Some(Wait::Rest), cx) => {
+            Poll::Pending
+                if this.connection.life.get().write_stalled() || this.late(Some(Wait::Rest), cx) =>
+            {
                 Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
             }
             Poll::Ready(Ok(written)) => {
@@ -212,8 +215,8 @@
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(Pin::new(this.stream()?).poll_flush(cx))?;
-        if this.connection.life.get().stage() == Stage::Flushing {
-            this.connection.change(|life| life.flushed());
+        if this.connection.life.get().stage() == Stage::WritingResponse {
+            this.connection.change(|life| life.response_flushed());
             // What was held back has its turn, as has whoever asked this connection to leave.
             cx.waker().wake_by_ref();
         }
@@ -228,7 +231,7 @@
 
 impl Drop for Guarded {
     fn drop(&mut self) {
-        self.connection.change(|life| life.shut());
+        self.connection.change(|life| life.close());
         *self.connection.left.borrow_mut() = self.stream.take();
     }
 }
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -46,7 +46,7 @@
 type JobAt = (Rc<str>, String);
 
 /// The link.
-pub struct Runners {
+pub struct RunnerLink {
     runtime: Weak<Runtime>,
     client: Client,
     pool: Pool,
@@ -54,11 +54,11 @@
     out: RefCell<HashMap<AttemptId, Out>>,
     /// Jobs being given up, by id and runner: a further attempt there waits for the end of that.
     given_up: RefCell<HashMap<JobAt, Rc<Notify>>>,
-    this: Weak<Runners>,
+    this: Weak<RunnerLink>,
 }
 
-impl Runners {
-    pub fn new(runtime: &Rc<Runtime>) -> Rc<Runners> {
+impl RunnerLink {
+    pub fn new(runtime: &Rc<Runtime>) -> Rc<RunnerLink> {
         let pool = Pool::new(&runtime.limits);
         let client = pool.client(&runtime.limits);
         let sweep = pool.clone();
@@ -69,7 +69,7 @@
                 sweep.close_idle(sweep.idle, |_| true);
             }
         });
-        Rc::new_cyclic(|this| Runners {
+        Rc::new_cyclic(|this| RunnerLink {
             runtime: Rc::downgrade(runtime),
             client,
             pool,
@@ -86,7 +86,7 @@
     }
 
     /// Notes where a runner listens.
-    pub fn address(&self, runner: &str, at: SocketAddr) {
+    pub fn set_address(&self, runner: &str, at: SocketAddr) {
         let before = self.addresses.borrow_mut().insert(runner.to_owned(), at);
         if let Some(before) = before.filter(|before| *before != at) {
             self.pool.close_idle(Duration::ZERO, |address| address == before);
@@ -150,7 +150,7 @@
     }
 }
 
-impl Link for Runners {
+impl Link for RunnerLink {
     fn leads_to(&self, runner: &str) -> bool {
         self.addresses.borrow().contains_key(runner)
     }
--- a/node/src/net/runners/attempt.rs
+++ b/node/src/net/runners/attempt.rs
@@ -2,7 +2,7 @@
 //! connection means. It owns those two. It must never send a request a second time, nor take for unsent
 //! what may have been written whole.
 
-use super::Runners;
+use super::RunnerLink;
 use super::pool::Leave;
 use crate::core::Ending;
 use crate::runtime::Job;
@@ -24,7 +24,7 @@
     Garbled,
 }
 
-impl Runners {
+impl RunnerLink {
     /// Makes one attempt: what the runner answers, if only that it has taken it.
     pub async fn attempt(
         &self,
--- a/node/src/net/inherit.rs
+++ b/node/src/net/socket_activation.rs
@@ -14,7 +14,7 @@
 ///
 /// A line that names what is wrong: the text is no descriptor number, the descriptor is one of the
 /// standard streams or not open, or it is not a listening TCP socket.
-pub fn take(text: &str) -> Result<TcpListener, String> {
+pub fn listener_from_fd(text: &str) -> Result<TcpListener, String> {
     let wrong = |what: &str| format!("NODE_LISTEN_FD: {text:?}: {what}; unset it to bind $NODE_LISTEN");
     let fd: RawFd = text.trim().parse().map_err(|_| wrong("is no descriptor number"))?;
     if fd < 3 {
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -2,7 +2,7 @@
 //! file's form, its defaults and the errors that name a key and its line. It must never open anything
 //! but the file itself, nor decide what a section's subsystem decides.
 
-use crate::net::faktory::Gateway;
+use crate::net::faktory::FaktoryConfig;
 use sablerun as sr;
 use sablerun_keys as keys;
 use sablerun_settings::Tables;
@@ -15,7 +15,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     /// The Faktory front.
-    pub faktory: Option<Gateway>,
+    pub faktory: Option<FaktoryConfig>,
     /// Idempotency keys at the edge.
     pub keys: Option<Keys>,
     /// A load digest that is followed in place of probes.
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -3,7 +3,7 @@
 
 use super::Shared;
 use crate::net::hosts::Hosts;
-use crate::net::objects::Objects;
+use crate::net::json_stream::JsonStream;
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
@@ -48,7 +48,7 @@
     if response.status() != StatusCode::OK {
         return Err(format!("answered {}", response.status()));
     }
-    let mut objects = Objects::new(LINE);
+    let mut objects = JsonStream::new(LINE);
     while let Some(bytes) = timeout(SILENT, response.next()).await.map_err(silent)? {
         objects.extend(&bytes.map_err(|e| e.to_string())?);
         while let Some(hosts) = objects.next::<Hosts>()? {
--- a/node/tests/faktory_model.rs
+++ b/node/tests/faktory_model.rs
@@ -102,8 +102,8 @@
 async fn converse(lines: Vec<usize>, cut: usize) {
     let front = front();
     let (near, far) = tokio::io::duplex(256);
-    let peer = front.plain_peer(([127, 0, 0, 1], 1).into());
-    let ended = actix_rt::spawn(front.converse(far, peer));
+    let peer = front.plaintext_peer(([127, 0, 0, 1], 1).into());
+    let ended = actix_rt::spawn(front.serve_connection(far, peer));
     let (reading, mut writing) = tokio::io::split(near);
     let mut reading = BufReader::new(reading);
     let mut said = String::new();
--- a/node/tests/life.rs
+++ b/node/tests/life.rs
@@ -1,8 +1,8 @@
 //! A client's connection and the program's end as state machines, by random steps against plain models.
 
 use proptest::prelude::*;
-use sablerun_node::net::platform::ending::{Ending, Phase, Seen};
-use sablerun_node::net::platform::life::{Leave, Life, Stage, TooLong};
+use sablerun_node::net::platform::lifecycle::{CloseMode, HeadTooLong, Lifecycle, Stage};
+use sablerun_node::net::platform::shutdown::{Observation, Phase, Shutdown};
 use std::time::Duration;
 
 const MOST: usize = 200;
@@ -27,7 +27,7 @@
     ) {
         let wire: Vec<_> = requests.iter().map(|&(blank, header, body)| request(blank, header, body)).collect();
         let bytes: Vec<u8> = wire.iter().flat_map(|(bytes, _)| bytes.clone()).collect();
-        let mut life = Life::default();
+        let mut life = Lifecycle::default();
         // The model: what has arrived, how much of it was handed on, requests answered, and the last one.
         let (mut arrived, mut passed, mut number) = (0, 0, 0);
         let (mut answering, mut asked, mut over) = (false, false, false);
@@ -39,51 +39,51 @@
                 0..=2 => arrived = (arrived + size).min(bytes.len()),
                 3..=4 => {
                     let before = life.stage();
-                    let more = life.pass(&bytes[passed..arrived], MOST).expect("no head is too long");
+                    let more = life.pass_to_parser(&bytes[passed..arrived], MOST).expect("no head is too long");
                     passed += more;
                     let limit = match before {
                         _ if over || answering => passed - more,
-                        Stage::Given => start + head,
-                        Stage::Fresh | Stage::Head | Stage::Resting => start + head,
+                        Stage::HeadRead => start + head,
+                        Stage::New | Stage::ReadingHead | Stage::Idle => start + head,
                         _ => end,
                     };
                     prop_assert!(passed <= limit, "{before:?} hands on beyond {limit}: {passed}");
-                    if !over && !answering && before != Stage::Given && number < wire.len() {
+                    if !over && !answering && before != Stage::HeadRead && number < wire.len() {
                         prop_assert_eq!(passed, arrived.min(limit).max(passed - more), "all that may be");
                     }
                 }
-                5 if life.stage() == Stage::Given => {
+                5 if life.stage() == Stage::HeadRead => {
                     prop_assert_eq!(passed, start + head);
-                    prop_assert!(life.begun(Some(end - start - head)));
-                    prop_assert!(!life.begun(Some(0)), "one request at a time");
+                    prop_assert!(life.request_started(Some(end - start - head)));
+                    prop_assert!(!life.request_started(Some(0)), "one request at a time");
                 }
                 6 => match life.stage() {
-                    Stage::Busy => {
+                    Stage::AwaitingResponse => {
                         prop_assert_eq!(passed, end);
                         let close = size == 1;
-                        prop_assert_eq!(life.answered(close), close || asked);
+                        prop_assert_eq!(life.response_started(close), close || asked);
                         (answering, over) = (true, over || close || asked);
                     }
-                    Stage::Flushing => {
-                        life.flushed();
+                    Stage::WritingResponse => {
+                        life.response_flushed();
                         (answering, number) = (false, number + 1);
-                        prop_assert_eq!(life.stage(), if over { Stage::Shut } else { Stage::Resting });
+                        prop_assert_eq!(life.stage(), if over { Stage::Closed } else { Stage::Idle });
                     }
                     _ => {}
                 },
                 7 if size < 5 => {
-                    life.ask(if size == 4 { Leave::Now } else { Leave::Soon });
+                    life.request_close(if size == 4 { CloseMode::Immediate } else { CloseMode::Graceful });
                     asked = true;
                 }
                 _ => {}
             }
             let start = if number == 0 { 0 } else { ends[number - 1] };
             let blank = requests.get(number).map_or(0, |(blank, ..)| blank * 2);
-            if life.may_end() {
+            if life.may_close() {
                 prop_assert!(asked && !answering && passed <= start + blank, "ends over a request");
             }
             if passed > start + blank && !over {
-                prop_assert!(life.under_way());
+                prop_assert!(life.is_active());
             }
         }
     }
@@ -92,11 +92,11 @@
     #[test]
     fn a_head_has_its_limit(header in 0usize..400, piece in 1usize..100) {
         let (bytes, head) = request(0, header, 0);
-        let (mut life, mut passed, mut long) = (Life::default(), 0, false);
+        let (mut life, mut passed, mut long) = (Lifecycle::default(), 0, false);
         for piece in bytes.chunks(piece) {
-            match life.pass(piece, MOST) {
+            match life.pass_to_parser(piece, MOST) {
                 Ok(more) => passed += more,
-                Err(TooLong) => { long = true; break }
+                Err(HeadTooLong) => { long = true; break }
             }
         }
         prop_assert_eq!(long, head > MOST);
@@ -112,26 +112,26 @@
     ) {
         let ms = Duration::from_millis;
         let (stop, flush) = (ms(spell + more), ms(100));
-        let mut ending = Ending::new(ms(spell), stop, flush);
-        let mut seen = Seen::default();
-        for (pause, under_way, queued, connections) in steps {
+        let mut ending = Shutdown::new(ms(spell), stop, flush);
+        let mut seen = Observation::default();
+        for (pause, active, accepted, connections) in steps {
             // A look comes in time.
             let pause = ms(pause).min(ms(10));
-            seen = Seen { since: seen.since.max(ending.next_look()) + pause, under_way, queued, connections };
+            seen = Observation { elapsed: seen.elapsed.max(ending.next_check()) + pause, active, accepted, connections };
             let before = ending.phase();
             let after = ending.step(&seen);
-            let late = seen.since >= stop + flush;
+            let late = seen.elapsed >= stop + flush;
             match (before, after) {
-                (Phase::AsUsual, Phase::LettingGo) => prop_assert!(seen.since >= ms(spell)),
-                (Phase::LettingGo, Phase::LastLook) => prop_assert!(late || under_way == 0),
-                (Phase::LastLook, Phase::LettingGo) => prop_assert!(queued > 0),
-                (Phase::LastLook, Phase::Closing) => prop_assert!(late || queued == 0),
-                (Phase::Closing, Phase::Over) => {}
+                (Phase::Serving, Phase::Draining) => prop_assert!(seen.elapsed >= ms(spell)),
+                (Phase::Draining, Phase::FinalAccept) => prop_assert!(late || active == 0),
+                (Phase::FinalAccept, Phase::Draining) => prop_assert!(accepted > 0),
+                (Phase::FinalAccept, Phase::Closing) => prop_assert!(late || accepted == 0),
+                (Phase::Closing, Phase::Done) => {}
                 (before, after) => prop_assert_eq!(before, after),
             }
             // 0.2 s before the earliest SIGKILL, but for the pauses of the last steps.
-            if seen.since >= stop + flush * 2 + ms(40) {
-                prop_assert_eq!(after, Phase::Over);
+            if seen.elapsed >= stop + flush * 2 + ms(40) {
+                prop_assert_eq!(after, Phase::Done);
             }
         }
     }
@@ -142,23 +142,23 @@
 #[test]
 fn only_who_takes_nothing_of_an_answer_is_cut() {
     let flushing = || {
-        let mut life = Life::default();
+        let mut life = Lifecycle::default();
         let (bytes, _) = request(0, 0, 0);
-        assert_eq!(life.pass(&bytes, MOST), Ok(bytes.len()));
-        assert!(life.begun(Some(0)));
+        assert_eq!(life.pass_to_parser(&bytes, MOST), Ok(bytes.len()));
+        assert!(life.request_started(Some(0)));
         life
     };
     let mut early = flushing();
-    early.ask(Leave::Now);
-    assert!(early.answered(false) && !early.stuck());
-    early.flushed();
-    assert_eq!(early.stage(), Stage::Shut);
+    early.request_close(CloseMode::Immediate);
+    assert!(early.response_started(false) && !early.write_stalled());
+    early.response_flushed();
+    assert_eq!(early.stage(), Stage::Closed);
     let mut soon = flushing();
-    soon.answered(false);
-    soon.ask(Leave::Soon);
-    assert!(!soon.stuck());
+    soon.response_started(false);
+    soon.request_close(CloseMode::Graceful);
+    assert!(!soon.write_stalled());
     let mut stuck = flushing();
-    stuck.answered(false);
-    stuck.ask(Leave::Now);
-    assert!(stuck.stuck());
+    stuck.response_started(false);
+    stuck.request_close(CloseMode::Immediate);
+    assert!(stuck.write_stalled());
 }
--- a/node/tests/wires.rs
+++ b/node/tests/wires.rs
@@ -2,10 +2,10 @@
 //! register of doors and the socket handed down. It owns what each makes of good and bad words.
 
 use sablerun_node::figures::Figures;
-use sablerun_node::net::door::{Call, DoorLimits, carry_out, parse};
-use sablerun_node::net::inherit::take;
-use sablerun_node::net::objects::Objects;
-use sablerun_node::net::peers::{Handed, Peers};
+use sablerun_node::net::admin::{AdminLimits, Command, execute, parse};
+use sablerun_node::net::json_stream::JsonStream;
+use sablerun_node::net::peers::{Forwarded, PeerRegistry};
+use sablerun_node::net::socket_activation::listener_from_fd;
 use sablerun_node::net::spiffe::SpiffeId;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 /// All objects of a text that comes in chunks of a length, or why one can't be read.
 fn read(text: &str, chunk: usize) -> Result<Vec<Value>, String> {
-    let (mut objects, mut all) = (Objects::new(200), Vec::new());
+    let (mut objects, mut all) = (JsonStream::new(200), Vec::new());
     for part in text.as_bytes().chunks(chunk) {
         objects.extend(part);
         while let Some(object) = objects.next()? {
@@ -77,18 +77,19 @@
 fn a_change_not_carried_out_in_time_gets_a_whole_line() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let (asks, _held) = mpsc::unbounded_channel();
-    let limits = DoorLimits { serving: std::time::Duration::from_millis(1), ..DoorLimits::default() };
+    let limits =
+        AdminLimits { execute_timeout: std::time::Duration::from_millis(1), ..AdminLimits::default() };
     let figures = Figures::default();
-    let said = runtime.block_on(carry_out(Call::Disable("s-0".into()), &figures, &asks, limits));
+    let said = runtime.block_on(execute(Command::Disable("s-0".into()), &figures, &asks, limits));
     assert_eq!(said, "ERR not carried out within 1 ms: call again\n");
 }
 
 #[test]
 fn calls_are_read_and_what_is_wrong_is_named() {
-    assert_eq!(parse(b"READY\n"), Ok(Call::Ready));
-    assert_eq!(parse(b"stats\r\n"), Ok(Call::Stats));
-    assert_eq!(parse(b"DISABLE s-0badcafe\n"), Ok(Call::Disable("s-0badcafe".into())));
-    assert_eq!(parse(b"ENABLE s-1"), Ok(Call::Enable("s-1".into())));
+    assert_eq!(parse(b"READY\n"), Ok(Command::Ready));
+    assert_eq!(parse(b"stats\r\n"), Ok(Command::Stats));
+    assert_eq!(parse(b"DISABLE s-0badcafe\n"), Ok(Command::Disable("s-0badcafe".into())));
+    assert_eq!(parse(b"ENABLE s-1"), Ok(Command::Enable("s-1".into())));
     assert!(parse(b"\n").unwrap_err().starts_with("empty call"));
     assert!(parse(b"DISABLE\n").unwrap_err().contains("which runner"));
     assert!(parse(b"READY now\n").unwrap_err().contains("takes no argument"));
@@ -103,15 +104,15 @@
     let folder = tempfile::tempdir().unwrap();
     let second = Duration::from_secs(10);
     let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
-    let here = Peers::register(folder.path().to_owned(), at(1), second).unwrap();
+    let here = PeerRegistry::register(folder.path().to_owned(), at(1), second).unwrap();
     let listed = || std::fs::read_dir(folder.path()).unwrap().count();
     runtime.block_on(async {
-        assert_eq!(here.hand_on("{}").await, Handed::Nowhere, "there is only this process");
+        assert_eq!(here.forward("{}").await, Forwarded::NoOwner, "there is only this process");
         // Port 2 is nobody's; the other door answers busy once and takes the call then.
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let there = listener.local_addr().unwrap();
-        let dead = Peers::register(folder.path().to_owned(), at(2), second).unwrap();
-        let live = Peers::register(folder.path().to_owned(), there, second).unwrap();
+        let dead = PeerRegistry::register(folder.path().to_owned(), at(2), second).unwrap();
+        let live = PeerRegistry::register(folder.path().to_owned(), there, second).unwrap();
         assert_eq!(listed(), 3);
         let serve = tokio::spawn(async move {
             let mut calls = Vec::new();
@@ -124,9 +125,9 @@
             }
             calls
         });
-        assert_eq!(here.hand_on(r#"{"id":"a"}"#).await, Handed::Taken);
+        assert_eq!(here.forward(r#"{"id":"a"}"#).await, Forwarded::Accepted);
         assert_eq!(listed(), 2, "the dead one is struck off");
-        assert_eq!(here.hand_on(r#"{"id":"b"}"#).await, Handed::Nowhere);
+        assert_eq!(here.forward(r#"{"id":"b"}"#).await, Forwarded::NoOwner);
         assert_eq!(
             serve.await.unwrap(),
             ["TOLD {\"id\":\"a\"}\n", "TOLD {\"id\":\"a\"}\n", "TOLD {\"id\":\"b\"}\n"]
@@ -140,7 +141,7 @@
 
 #[test]
 fn what_is_no_listening_socket_is_named() {
-    assert!(take("five").unwrap_err().contains("is no descriptor number"));
-    assert!(take("2").unwrap_err().contains("standard stream"));
-    assert!(take("1000000").unwrap_err().contains("is not open"));
+    assert!(listener_from_fd("five").unwrap_err().contains("is no descriptor number"));
+    assert!(listener_from_fd("2").unwrap_err().contains("standard stream"));
+    assert!(listener_from_fd("1000000").unwrap_err().contains("is not open"));
 }
