--- a/benchlink/src/host.rs
+++ b/benchlink/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{Batch, Entry, Event, Row};
 use sablerun as sr;
-use sablerun_settings::{Env, Names, Tables};
+use sablerun_settings::{Env, NameTable, Tables};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -14,7 +14,7 @@
 
 impl Instance {
     fn new(seed: u64, now: sr::Time, env: &Env) -> Result<Instance, String> {
-        let (mut settings, tables) = env.settle().map_err(|e| format!("PROVISION.env: {e}"))?;
+        let (mut settings, tables) = env.to_settings().map_err(|e| format!("PROVISION.env: {e}"))?;
         // The simulator's own clock: four times the time for asking, anew from each call that fails.
         settings.lost_within = sr::Span(settings.ask_within.0.saturating_mul(4));
         settings.saved_within = settings.lost_within;
@@ -35,9 +35,9 @@
             other => return Err(format!("PAGE.entries: state {other:?}")),
         };
         Ok(sr::ListEntry {
-            worker: sr::WorkerId(self.tables.workers.number(&entry.0)),
-            zone: sr::ZoneId(self.tables.zones.number(&entry.1)),
-            kind: sr::KindId(self.tables.kinds.number(&entry.2)),
+            worker: sr::WorkerId(self.tables.workers.intern(&entry.0)),
+            zone: sr::ZoneId(self.tables.zones.intern(&entry.1)),
+            kind: sr::KindId(self.tables.kinds.intern(&entry.2)),
             cell: entry.3,
             standing,
             size: entry.5.unwrap_or(1.0),
@@ -208,7 +208,7 @@
     instances.get_mut(&i).ok_or_else(|| format!("{event}.i: instance {i} was never started"))
 }
 
-fn write(i: u32, action: &sr::Action, workers: &Names, out: &mut String) {
+fn write(i: u32, action: &sr::Action, workers: &NameTable, out: &mut String) {
     let done = match *action {
         sr::Action::Send(request, worker) => {
             write!(out, "[\"DELIVER\",{i},{},{},0]", request.0, workers.quoted(worker.0))
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -25,7 +25,7 @@
 use client::client;
 use sablerun as sr;
 use sablerun_node::assembly;
-use sablerun_node::config::{Config, adopt};
+use sablerun_node::config::{Config, apply_config};
 use sablerun_node::limits::Limits;
 use sablerun_node::net::digest::DigestSubscriber;
 use sablerun_node::net::platform::{self, Front};
@@ -163,19 +163,19 @@
     async fn start(looker: Looker, text: Value) -> Result<Parts, String> {
         let (shared, number) = (looker.shared.clone(), looker.number);
         let config = read(&text)?;
-        let settled = config.settle()?;
+        let settled = config.to_settings()?;
         let agent = settled.0.discovery == sr::Discovery::Agent;
         let machine = &config.limits;
         let limits = Limits::new(machine.sockets, machine.memory_mb, &config.settings, false);
-        let runtime = assembly::runtime(&config, settled, Clock::new(), limits, None)?;
-        runtime.show_to(Rc::new(looker));
-        let (runners, roster) = assembly::join(&runtime);
+        let runtime = assembly::build_runtime(&config, settled, Clock::new(), limits, None)?;
+        runtime.set_observer(Rc::new(looker));
+        let (runners, roster) = assembly::connect(&runtime);
         if let Some(section) = &shared.operator.digest {
             DigestSubscriber::start(&runtime, section);
         }
         let listener = platform::listen(config.listen, runtime.limits.backlog)
             .map_err(|e| format!("listen: {}: {e}", config.listen))?;
-        let front = assembly::begin(&runtime, &roster, config.known.filter(|_| !agent), listener);
+        let front = assembly::start(&runtime, &roster, config.known.filter(|_| !agent), listener);
         Ok(Parts { shared, number, text, runtime, runners, front })
     }
 
@@ -191,7 +191,7 @@
                 }
                 Word::Adopt(read, tell) => {
                     let (config, new, version) = *read;
-                    let done = adopt(&self.runtime, &mut self.text, (config, new), None);
+                    let done = apply_config(&self.runtime, &mut self.text, (config, new), None);
                     if done.is_ok() {
                         self.shared.acts.act(self.number, "settings", version);
                     }
--- a/lab/src/scale/hollow/client.rs
+++ b/lab/src/scale/hollow/client.rs
@@ -4,7 +4,7 @@
 use crate::scale::records::Out;
 use sablerun as sr;
 use sablerun_node::core::{Answer, Arrival, Input};
-use sablerun_node::runtime::{Here, Job, Runtime};
+use sablerun_node::runtime::{ClientGuard, Job, Runtime};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     };
     let (ticket, answer) = runtime.ticket(class);
     // Dropped with this future: the client has gone away then, unless it was answered.
-    let _here = Here::new(&runtime, ticket);
+    let _here = ClientGuard::new(&runtime, ticket);
     runtime.feed(Input::Arrived(Arrival {
         ticket,
         id: arrival.id.as_str().into(),
--- a/node/benches/slopes/terms.rs
+++ b/node/benches/slopes/terms.rs
@@ -1,8 +1,8 @@
 //! The terms of a made-up world: its size, the settings, its runners. It owns those figures alone.
 
 use sablerun as sr;
-use sablerun_node::core::Listed;
-use sablerun_settings::{Names, Tables};
+use sablerun_node::core::ListedRunner;
+use sablerun_settings::{NameTable, Tables};
 
 /// Seconds that a request runs, in the mean.
 pub const WORK: f64 = 65.0;
@@ -26,11 +26,11 @@
     let tenants: Vec<_> = (0..shape.tenants).map(|t| format!("team-{t}")).collect();
     let zones: Vec<_> = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
     Tables {
-        workers: Names::default(),
-        zones: Names::of(&zones),
-        kinds: Names::default(),
-        classes: Names::of([&"task".to_owned(), &"urgent".to_owned()]),
-        tenants: Names::of(&tenants),
+        workers: NameTable::default(),
+        zones: NameTable::of(&zones),
+        kinds: NameTable::default(),
+        classes: NameTable::of([&"task".to_owned(), &"urgent".to_owned()]),
+        tenants: NameTable::of(&tenants),
         fields: Vec::new(),
     }
 }
@@ -72,8 +72,8 @@
     }
 }
 
-pub fn listed(runner: usize, up_since: Option<sr::Time>) -> Listed {
-    Listed {
+pub fn listed(runner: usize, up_since: Option<sr::Time>) -> ListedRunner {
+    ListedRunner {
         name: name(runner),
         zone: format!("zone-{}", runner % ZONES),
         kind: format!("kind-{}", runner % 4),
--- a/node/benches/slopes/world.rs
+++ b/node/benches/slopes/world.rs
@@ -5,7 +5,9 @@
 use crate::times::Times;
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{Arrival, AttemptId, Core, Effect, Ending, Input, Retune, Source, Tally, Ticket};
+use sablerun_node::core::{
+    Arrival, AttemptEnd, AttemptId, Core, Effect, Input, Reconfiguration, Source, Tally, Ticket,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 use std::time::Instant;
@@ -103,7 +105,7 @@
     }
 
     pub fn kept(&mut self) -> usize {
-        self.core().kept().0
+        self.core().retained().0
     }
 
     pub fn drop_core(&mut self) {
@@ -125,12 +127,12 @@
         loop {
             let said = self.words.peek().map(|Reverse((at, ..))| *at);
             // The program's clock wakes it at whole milliseconds.
-            let due = self.core().due().map(|at| sr::Time(at.0.div_ceil(1_000_000) * 1_000_000));
+            let due = self.core().next_timer().map(|at| sr::Time(at.0.div_ceil(1_000_000) * 1_000_000));
             let Some(next) = said.into_iter().chain(due).min().filter(|next| *next < end) else { break };
             self.now = self.now.max(next);
             if due.is_some_and(|due| due <= next) {
                 wakes += 1;
-                self.step("due", Input::Due);
+                self.step("due", Input::TimerDue);
             } else if let Some(Reverse((.., word))) = self.words.pop() {
                 self.hear(word);
             }
@@ -151,8 +153,11 @@
             Word::Told(_, job, runner) => {
                 self.own[runner] -= 1.0;
                 let report = Some(self.report(runner));
-                let ending = Ending { report, ..Ending::bare(sr::Outcome::Ok) };
-                self.step("told done", Input::Told { id: format!("job-{job}"), from: name(runner), ending });
+                let ending = AttemptEnd { report, ..AttemptEnd::without_report(sr::Outcome::Ok) };
+                self.step(
+                    "told done",
+                    Input::Finished { id: format!("job-{job}"), from: name(runner), end: ending },
+                );
             }
             Word::Probed(runner) => {
                 let report = Some(self.report(runner));
@@ -172,7 +177,10 @@
             Word::Retune => {
                 let (settings, tables, until) = (settings(self.shape), tables(self.shape), self.now);
                 let rules = vec![keys::Retention { window: sr::Span(0), uncertain_ttl: sr::Span(0) }; 2];
-                self.step("retune", Input::Retune(Box::new(Retune { settings, tables, rules, until })));
+                self.step(
+                    "retune",
+                    Input::Reconfigure(Box::new(Reconfiguration { settings, tables, rules, until })),
+                );
                 self.say(10.0, word);
             }
             Word::Restart if self.shape.cold > 0 => {
@@ -238,7 +246,7 @@
                     let runner = runner[2..].parse().expect("named here");
                     self.say(0.001, Word::Probed(runner));
                 }
-                Effect::GiveUp(attempt) => {
+                Effect::Cancel(attempt) => {
                     self.gone.insert(attempt);
                 }
                 _ => {}
--- a/node/src/assembly.rs
+++ b/node/src/assembly.rs
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// Names the setting that makes no sense.
-pub fn runtime(
+pub fn build_runtime(
     config: &Config,
     (settings, tables): (sr::Settings, Tables),
     clock: Clock,
@@ -30,28 +30,28 @@
 ) -> Result<Rc<Runtime>, String> {
     let seed = config.seed()?;
     let promised = settings.clone();
-    let mut core = Core::new(settings, tables, config.discovery, seed, clock.now(), limits.open)
+    let mut core = Core::new(settings, tables, config.discovery, seed, clock.now(), limits.max_open)
         .map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
     if let Some(store) = store {
-        core.keep_keys(store);
+        core.set_key_store(store);
     }
     let runtime = Runtime::new(core, clock, limits);
-    runtime.promise(&promised);
-    runtime.show_classes();
+    runtime.update_longest_deadline(&promised);
+    runtime.register_classes();
     Ok(runtime)
 }
 
 /// Gives a runtime its way to the platform's runners, and to discovery.
-pub fn join(runtime: &Rc<Runtime>) -> (Rc<RunnerLink>, Rc<DiscoveryClient>) {
+pub fn connect(runtime: &Rc<Runtime>) -> (Rc<RunnerLink>, Rc<DiscoveryClient>) {
     let runners = RunnerLink::new(runtime);
     runtime.add_link(runners.clone());
     let roster = DiscoveryClient::new(runtime, &runners);
-    runtime.set_roster(roster.clone());
+    runtime.set_list_source(roster.clone());
     (runners, roster)
 }
 
 /// Begins: asks for the list, keeps time and serves whoever comes to the listener.
-pub fn begin(
+pub fn start(
     runtime: &Rc<Runtime>,
     roster: &DiscoveryClient,
     known: Option<Hosts>,
@@ -62,7 +62,7 @@
         None => runtime.feed(Input::List(Source::Discovery, sr::ListKind::Saved, Vec::new())),
     }
     let timer = runtime.clone();
-    actix_rt::spawn(async move { timer.keep_time().await });
+    actix_rt::spawn(async move { timer.run_timers().await });
     let front = Front::new(runtime);
     actix_rt::spawn(front.clone().serve(listener));
     front
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -120,7 +120,7 @@
         let sections = if sections.is_empty() { "none".to_owned() } else { sections.join(", ") };
         writeln!(out, "settings and operator's file are good; sections on: {sections}")
     };
-    quiet(written)
+    ignore_broken_pipe(written)
 }
 
 /// Prints what a snapshot holds.
@@ -165,7 +165,7 @@
                        "result_bytes": bytes, "age_s": age})
             })
             .collect();
-        return quiet(writeln!(
+        return ignore_broken_pipe(writeln!(
             out,
             "{}",
             json!({"age_s": head.0, "last": head.1, "served": head.2, "may_have_run": head.3, "keys": rows})
@@ -185,11 +185,11 @@
         }
         Ok(())
     };
-    quiet(write())
+    ignore_broken_pipe(write())
 }
 
 /// A reader that has seen enough (`| head`) is no error.
-pub fn quiet(written: io::Result<()>) -> Result<(), String> {
+pub fn ignore_broken_pipe(written: io::Result<()>) -> Result<(), String> {
     match written {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(format!("standard output: {e}")),
         _ => Ok(()),
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -3,7 +3,7 @@
 //! file to use that makes no sense as a whole.
 
 use crate::core::Input;
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::net::hosts;
 use crate::operator;
 use crate::runtime::Runtime;
@@ -35,9 +35,9 @@
     /// # Errors
     ///
     /// Names the setting that makes no sense.
-    pub fn settle(&self) -> Result<(sr::Settings, Tables), String> {
+    pub fn to_settings(&self) -> Result<(sr::Settings, Tables), String> {
         let (mut settings, tables) =
-            self.settings.settle().map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
+            self.settings.to_settings().map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
         if settings.discovery == sr::Discovery::Pushed {
             settings.discovery = sr::Discovery::Agent;
         }
@@ -85,8 +85,8 @@
 /// Reads the configuration anew: discovery may have moved, and new settings hold from now on. A file
 /// that makes no sense, or is half written, changes nothing.
 pub fn reload(runtime: &Runtime, text: &mut Value, kept: Option<&operator::Keys>) {
-    if let Err(e) = read_config().and_then(|read| adopt(runtime, text, read, kept)) {
-        Figures::add(&runtime.figures.conf_invalid);
+    if let Err(e) = read_config().and_then(|read| apply_config(runtime, text, read, kept)) {
+        Metrics::add(&runtime.metrics.conf_invalid);
         log::error!("configuration not read anew, the old one stays: {e}");
     }
 }
@@ -97,14 +97,14 @@
 /// # Errors
 ///
 /// Names the setting that makes no sense; nothing has changed then.
-pub fn adopt(
+pub fn apply_config(
     runtime: &Runtime,
     text: &mut Value,
     (config, new): (Config, Value),
     kept: Option<&operator::Keys>,
 ) -> Result<(), String> {
-    let (settings, tables) = config.settle()?;
-    Figures::add(&runtime.figures.conf_loaded);
+    let (settings, tables) = config.to_settings()?;
+    Metrics::add(&runtime.metrics.conf_loaded);
     log::info!("configuration read anew, discovery at {}", config.discovery);
     for key in READ_AT_START {
         if new.pointer(key) != text.pointer(key) {
@@ -114,15 +114,15 @@
     }
     if new["settings"] != text["settings"] {
         let rules = kept.map_or_else(Vec::new, |kept| kept.rules(&settings.classes));
-        let until = runtime.clock.now() + sr::Span(runtime.limits.vanished.as_nanos() as u64);
+        let until = runtime.clock.now() + sr::Span(runtime.limits.removed_class_grace.as_nanos() as u64);
         let (classes, attempts) = (tables.classes.all().join(","), settings.max_attempts);
-        runtime.promise(&settings);
-        let retune = crate::core::Retune { settings, tables, rules, until };
-        runtime.feed(Input::Retune(Box::new(retune)));
-        runtime.show_classes();
+        runtime.update_longest_deadline(&settings);
+        let retune = crate::core::Reconfiguration { settings, tables, rules, until };
+        runtime.feed(Input::Reconfigure(Box::new(retune)));
+        runtime.register_classes();
         log::info!(classes = classes.as_str(), attempts = attempts; "new settings are in use");
     }
     *text = new;
-    runtime.feed(Input::RosterAt(config.discovery));
+    runtime.feed(Input::DiscoveryMoved(config.discovery));
     Ok(())
 }
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -13,18 +13,18 @@
 use std::rc::Rc;
 
 mod attempts;
+mod balancer;
 mod digest;
-mod hands;
+mod disabled;
+mod idempotency;
 mod input;
-mod keyed;
 mod lists;
-mod module;
+mod reconfigure;
 mod requests;
-mod retune;
 mod timers;
 
-pub use input::{Answer, Arrival, AttemptId, Effect, Ending, Input, Key, Listed, Source, Ticket};
-pub use retune::Retune;
+pub use input::{Answer, Arrival, AttemptEnd, AttemptId, Effect, Input, Key, ListedRunner, Source, Ticket};
+pub use reconfigure::Reconfiguration;
 use timers::Timer;
 
 struct Attempt {
@@ -181,7 +181,7 @@
     }
 
     /// Requests kept, answered or not, and the ids that runners know them by: none once nothing is under way.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn retained(&self) -> (usize, usize) {
         (self.requests.len(), self.ids.len())
     }
 
@@ -197,12 +197,12 @@
             Input::ClientGone(ticket) => self.client_gone(now, ticket),
             Input::Started { id, from } => self.noted(now, &id, &from, sr::Note::Started),
             Input::Progress { id, from, share } => self.noted(now, &id, &from, sr::Note::Progress(share)),
-            Input::Told { id, from, ending } => {
+            Input::Finished { id, from, end: ending } => {
                 if let Some(attempt) = self.live(&id, &from) {
                     self.told(now, attempt, ending);
                 }
             }
-            Input::Ended(attempt, ending) => {
+            Input::AttemptEnded(attempt, ending) => {
                 let answered = ending.outcome.never_ran() || ending.outcome == sr::Outcome::Error;
                 self.ended(now, attempt, ending, if answered { Echo::None } else { Echo::Any });
             }
@@ -216,8 +216,8 @@
             Input::List(source, kind, listed) => self.list(now, source, kind, listed),
             Input::ListFailed => self.tell(now, sr::Event::ListFailed),
             Input::ListSilent => self.tell(now, sr::Event::ListSilent),
-            Input::Retune(retune) => self.retune(now, *retune),
-            Input::RosterAt(at) => {
+            Input::Reconfigure(retune) => self.retune(now, *retune),
+            Input::DiscoveryMoved(at) => {
                 // At once, and not when the module next asks: it waits for the old watch to fall silent.
                 if self.roster != at {
                     self.roster = at;
@@ -229,11 +229,11 @@
                 self.stop = Some(at);
                 self.set_timer(at, Timer::Stop);
             }
-            Input::Hand { call, runner, out, shared } => {
+            Input::SetDisabled { call, runner, disabled: out, from_peer: shared } => {
                 let result = self.hand(now, &runner, out, shared);
-                self.effects.push(Effect::Handed { call, result });
+                self.effects.push(Effect::AdminResult { call, result });
             }
-            Input::Due => {}
+            Input::TimerDue => {}
         }
         self.run_timers(now);
         std::mem::take(&mut self.effects)
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -2,7 +2,7 @@
 //! that a runner holds one attempt of a request at a time. It must never pick the runner, nor believe a word
 //! about an attempt that is over.
 
-use super::{Answer, Attempt, AttemptId, Core, Echo, Effect, Ending};
+use super::{Answer, Attempt, AttemptEnd, AttemptId, Core, Echo, Effect};
 use sablerun as sr;
 
 impl<J: Clone> Core<J> {
@@ -23,7 +23,7 @@
 
     /// A runner's word of how a job ended. Where an earlier attempt there may have brought it about, it proves
     /// nothing of this one, which may run: that is given up. What the runner made serves in any case.
-    pub(super) fn told(&mut self, now: sr::Time, attempt: AttemptId, ending: Ending) {
+    pub(super) fn told(&mut self, now: sr::Time, attempt: AttemptId, ending: AttemptEnd) {
         let AttemptId { request, number } = attempt;
         let Some(attempts) = self.requests.get(&request).map(|r| &r.attempts) else { return };
         let (earlier, this) = attempts.split_at(number as usize);
@@ -48,7 +48,7 @@
         let attempt = self.requests.get_mut(&request).and_then(|r| r.attempts.get_mut(number as usize));
         if let Some(attempt) = attempt.filter(|a| a.live) {
             (attempt.live, attempt.echo) = (false, Echo::Any);
-            self.effects.push(Effect::GiveUp(AttemptId { request, number }));
+            self.effects.push(Effect::Cancel(AttemptId { request, number }));
             self.end_for_module(request, number, outcome);
         }
     }
@@ -69,12 +69,12 @@
         this.first().is_some_and(|a| a.live) && now < request.deadline && known
     }
 
-    pub(super) fn ended(&mut self, now: sr::Time, attempt: AttemptId, ending: Ending, echo: Echo) {
+    pub(super) fn ended(&mut self, now: sr::Time, attempt: AttemptId, ending: AttemptEnd, echo: Echo) {
         let request = self.requests.get_mut(&attempt.request);
         let out = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let Some(out) = out.filter(|a| a.live) else { return };
         (out.live, out.may_have_run, out.echo) = (false, !ending.outcome.never_ran(), echo);
-        self.effects.push(Effect::Over(attempt));
+        self.effects.push(Effect::Forget(attempt));
         if ending.outcome == sr::Outcome::Ok {
             self.answer(now, attempt.request, Answer::Served(ending.result));
         }
@@ -99,7 +99,7 @@
         let out = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let Some(out) = out.filter(|a| a.live) else { return };
         out.live = false;
-        self.effects.push(Effect::Over(attempt));
+        self.effects.push(Effect::Forget(attempt));
         self.answer(now, attempt.request, Answer::Failed("the runner can't use the request"));
         self.end_for_module(attempt.request, attempt.number, sr::Outcome::Moot);
         self.tell_events(now);
--- a/node/src/core/module.rs
+++ b/node/src/core/balancer.rs
@@ -46,7 +46,7 @@
                 self.effects.push(Effect::Probe(self.tables.workers.name(worker.0).to_owned()));
             }
             sr::Action::Release(worker) => {
-                self.effects.push(Effect::Release(self.tables.workers.name(worker.0).to_owned()));
+                self.effects.push(Effect::CloseIdle(self.tables.workers.name(worker.0).to_owned()));
             }
         }
     }
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -50,7 +50,7 @@
             ApplyOutcome::Stale => {}
             ApplyOutcome::Gap => {
                 digest.heard = None;
-                self.effects.push(Effect::AskDigest);
+                self.effects.push(Effect::FetchDigest);
             }
         }
     }
--- a/node/src/core/hands.rs
+++ b/node/src/core/disabled.rs
@@ -9,13 +9,13 @@
 impl<J: Clone> Core<J> {
     /// Runners on the list, and of those the ones avoided now: by hand, as the list drains them, or by the
     /// module's choice.
-    pub fn census(&self) -> (usize, usize) {
+    pub fn runner_counts(&self) -> (usize, usize) {
         let avoided = |(worker, out): &(&u32, &bool)| **out || self.balancer.avoids(sr::WorkerId(**worker));
         (self.standings.len(), self.standings.iter().filter(avoided).count())
     }
 
     /// The runners taken out by hand, by name.
-    pub fn banned(&self) -> impl Iterator<Item = &str> {
+    pub fn disabled_runners(&self) -> impl Iterator<Item = &str> {
         self.banned.iter().map(|worker| self.tables.workers.name(*worker))
     }
 
@@ -29,7 +29,7 @@
         shared: bool,
     ) -> Result<(), &'static str> {
         let worker = match shared {
-            true => self.tables.workers.number(runner),
+            true => self.tables.workers.intern(runner),
             false => self.tables.workers.get(runner).ok_or("no runner of that id was ever listed")?,
         };
         let changed = if out { self.banned.insert(worker) } else { self.banned.remove(&worker) };
--- a/node/src/core/keyed.rs
+++ b/node/src/core/idempotency.rs
@@ -8,7 +8,7 @@
 
 impl<J: Clone> Core<J> {
     /// Keeps clients' keys from now on.
-    pub fn keep_keys(&mut self, store: keys::Store) {
+    pub fn set_key_store(&mut self, store: keys::Store) {
         self.keys = Some(store);
     }
 
--- a/node/src/core/input.rs
+++ b/node/src/core/input.rs
@@ -1,7 +1,7 @@
 //! The reducer's words: what may happen to it and what it may ask for, with the types they carry. It owns
 //! their form, which fronts and links share with the core. It must never decide or change anything.
 
-use super::Retune;
+use super::Reconfiguration;
 use bytes::Bytes;
 use sablerun as sr;
 use sablerun_digest::Frame;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Key {
     pub text: Rc<str>,
-    pub print: keys::Fingerprint,
+    pub fingerprint: keys::Fingerprint,
 }
 
 /// Who tells of runners: a whole list from one source says nothing of the others' runners.
@@ -53,12 +53,12 @@
 pub enum Source {
     Discovery,
     /// Runners that connected to a front by themselves.
-    Callers,
+    SelfRegistered,
 }
 
 /// A runner as a list names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedRunner {
     pub name: String,
     pub zone: String,
     pub kind: String,
@@ -83,17 +83,17 @@
 
 /// How an attempt ended, as a link saw it.
 #[derive(Clone, Debug)]
-pub struct Ending {
+pub struct AttemptEnd {
     pub outcome: sr::Outcome,
     /// What the runner made, where it served.
     pub result: Bytes,
     pub report: Option<sr::Report>,
 }
 
-impl Ending {
+impl AttemptEnd {
     /// An end without result or report.
-    pub fn bare(outcome: sr::Outcome) -> Ending {
-        Ending { outcome, result: Bytes::new(), report: None }
+    pub fn without_report(outcome: sr::Outcome) -> AttemptEnd {
+        AttemptEnd { outcome, result: Bytes::new(), report: None }
     }
 }
 
@@ -115,13 +115,13 @@
         share: f64,
     },
     /// A runner tells how a job ended.
-    Told {
+    Finished {
         id: String,
         from: String,
-        ending: Ending,
+        end: AttemptEnd,
     },
     /// A link saw an attempt end.
-    Ended(AttemptId, Ending),
+    AttemptEnded(AttemptId, AttemptEnd),
     /// A runner can't use the request of an attempt.
     Unusable(AttemptId),
     Probed {
@@ -131,27 +131,27 @@
     },
     /// A frame of the load digest.
     Digest(Frame),
-    List(Source, sr::ListKind, Vec<Listed>),
+    List(Source, sr::ListKind, Vec<ListedRunner>),
     /// A call for the list failed or its watch broke.
     ListFailed,
     /// Nothing comes over the watch any more, not even a sign of life.
     ListSilent,
     /// New settings hold from now on.
-    Retune(Box<Retune>),
+    Reconfigure(Box<Reconfiguration>),
     /// The list is to be asked for at this address from now on.
-    RosterAt(SocketAddr),
+    DiscoveryMoved(SocketAddr),
     /// The program ends then: whatever is unanswered by that time is answered.
     StopAt(sr::Time),
     /// An operator takes a runner out by hand (`out`), or puts it back; `call` is told with the result.
     /// A call that the other process of an upgrade took (`shared`) may name a runner not listed here yet.
-    Hand {
+    SetDisabled {
         call: u64,
         runner: String,
-        out: bool,
-        shared: bool,
+        disabled: bool,
+        from_peer: bool,
     },
     /// Time has passed: a timer may be due.
-    Due,
+    TimerDue,
 }
 
 impl<J> Input<J> {
@@ -162,18 +162,18 @@
             Input::ClientGone(_) => "client_gone",
             Input::Started { .. } => "started",
             Input::Progress { .. } => "progress",
-            Input::Told { .. } => "told",
-            Input::Ended(..) => "ended",
+            Input::Finished { .. } => "told",
+            Input::AttemptEnded(..) => "ended",
             Input::Unusable(_) => "unusable",
             Input::Probed { .. } => "probed",
             Input::Digest(_) => "digest",
             Input::List(..) => "list",
             Input::ListFailed | Input::ListSilent => "list_lost",
-            Input::Retune(_) => "retune",
-            Input::RosterAt(_) => "roster_at",
+            Input::Reconfigure(_) => "retune",
+            Input::DiscoveryMoved(_) => "roster_at",
             Input::StopAt(_) => "stop_at",
-            Input::Hand { .. } => "hand",
-            Input::Due => "due",
+            Input::SetDisabled { .. } => "hand",
+            Input::TimerDue => "due",
         }
     }
 }
@@ -190,19 +190,19 @@
         deadline: sr::Time,
     },
     /// Stop waiting for an attempt and let its runner know.
-    GiveUp(AttemptId),
+    Cancel(AttemptId),
     /// An attempt has ended by itself: whatever a link holds of it can go.
-    Over(AttemptId),
+    Forget(AttemptId),
     /// Ask there for the list and its changes from now on.
     Subscribe(SocketAddr),
     /// Ask there for the whole list once.
     Fetch(SocketAddr),
     Probe(String),
     /// Ask the digest for the whole: frames are missing.
-    AskDigest,
-    Release(String),
+    FetchDigest,
+    CloseIdle(String),
     /// What came of an operator's call to take a runner out or put it back.
-    Handed {
+    AdminResult {
         call: u64,
         result: Result<(), &'static str>,
     },
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -2,21 +2,27 @@
 //! names into the module's numbers. It must never judge a runner, nor let one source's list speak for
 //! another's.
 
-use super::{Core, Listed, Source};
+use super::{Core, ListedRunner, Source};
 use sablerun as sr;
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    pub(super) fn list(&mut self, now: sr::Time, source: Source, kind: sr::ListKind, listed: Vec<Listed>) {
+    pub(super) fn list(
+        &mut self,
+        now: sr::Time,
+        source: Source,
+        kind: sr::ListKind,
+        listed: Vec<ListedRunner>,
+    ) {
         let mut changed: Vec<sr::ListEntry> = Vec::with_capacity(listed.len());
         for runner in listed {
-            let worker = self.tables.workers.number(&runner.name);
-            let zone = self.tables.zones.number(&runner.zone);
+            let worker = self.tables.workers.intern(&runner.name);
+            let zone = self.tables.zones.intern(&runner.zone);
             self.places.insert(worker, keys::Place { zone, cell: runner.cell });
             changed.push(sr::ListEntry {
                 worker: sr::WorkerId(worker),
                 zone: sr::ZoneId(zone),
-                kind: sr::KindId(self.tables.kinds.number(&runner.kind)),
+                kind: sr::KindId(self.tables.kinds.intern(&runner.kind)),
                 cell: runner.cell,
                 standing: runner.standing,
                 size: runner.size,
--- a/node/src/core/retune.rs
+++ b/node/src/core/reconfigure.rs
@@ -5,11 +5,11 @@
 use super::Core;
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_settings::{Tables, renew};
+use sablerun_settings::{Tables, reconcile};
 
 /// New settings as the configuration gives them, with name tables of their own.
 #[derive(Clone, Debug)]
-pub struct Retune {
+pub struct Reconfiguration {
     pub settings: sr::Settings,
     pub tables: Tables,
     /// For how long keys of each of their classes are kept, where keys are kept.
@@ -28,17 +28,17 @@
     }
 
     /// Whether a request must name its tenant.
-    pub fn with_tenants(&self) -> bool {
+    pub fn requires_tenant(&self) -> bool {
         self.with_tenants
     }
 
     /// Puts new settings to use for what comes from now on; what is under way keeps its class, and makes
     /// no more attempts than both settings allow.
-    pub(super) fn retune(&mut self, now: sr::Time, retune: Retune) {
-        let Retune { settings, tables, rules, until } = retune;
+    pub(super) fn retune(&mut self, now: sr::Time, retune: Reconfiguration) {
+        let Reconfiguration { settings, tables, rules, until } = retune;
         self.with_tenants = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
-        let renewed = renew(&self.settings, &mut self.tables, settings, &tables);
+        let renewed = reconcile(&self.settings, &mut self.tables, settings, &tables);
         let report_age = self.settings.report_age;
         self.settings = sr::Settings { report_age, ..renewed.settings };
         for (number, rule) in renewed.classes.iter().zip(rules) {
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -32,8 +32,13 @@
         let member = tenant.map_or(keys::Member::NONE, keys::Member);
         let mut prior = None;
         if let (Some(store), Some(key)) = (&mut self.keys, &key) {
-            let asked =
-                keys::KeyedRequest { member, class, key: key.text.as_bytes(), fingerprint: key.print, retry };
+            let asked = keys::KeyedRequest {
+                member,
+                class,
+                key: key.text.as_bytes(),
+                fingerprint: key.fingerprint,
+                retry,
+            };
             match store.admit(now, &asked, keys::RunId(number.into())) {
                 keys::Admission::New => {}
                 keys::Admission::Resend(sent) => {
--- a/node/src/core/timers.rs
+++ b/node/src/core/timers.rs
@@ -15,7 +15,7 @@
 
 impl<J: Clone> Core<J> {
     /// When the next timer is due.
-    pub fn due(&self) -> Option<sr::Time> {
+    pub fn next_timer(&self) -> Option<sr::Time> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
--- a/node/src/bans.rs
+++ b/node/src/disabled_file.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 /// The file of this installation's bans.
-pub fn place() -> PathBuf {
+pub fn path() -> PathBuf {
     std::env::temp_dir().join("sablerun-bans")
 }
 
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -2,7 +2,7 @@
 //! thing that only an operator may: a dead job is tried again. It owns the tables and the words; what may
 //! become of a job is the ledger's to say, and every change goes through it.
 
-use crate::cli::quiet;
+use crate::cli::ignore_broken_pipe;
 use crate::runtime::unix_now;
 use clap::{Args, Subcommand, ValueEnum};
 use sablerun as sr;
@@ -166,13 +166,13 @@
                 })
             };
             if !broken.is_empty() {
-                quiet(told)?;
+                ignore_broken_pipe(told)?;
                 return Err(format!("{}: not as it should be; export what can be read", file.display()));
             }
             told
         }
     };
-    quiet(done)
+    ignore_broken_pipe(done)
 }
 
 fn unknown(id: u64, file: &Path) -> String {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -11,16 +11,16 @@
     reason = "asked of libraries for others; these parts have the program and its tests as callers"
 )]
 
+pub mod admin_calls;
 pub mod assembly;
-pub mod bans;
-pub mod by_hand;
 pub mod cli;
 pub mod config;
 pub mod core;
-pub mod figures;
+pub mod disabled_file;
 pub mod jobs_cli;
 pub mod limits;
 pub mod logging;
+pub mod metrics;
 pub mod net;
 pub mod operator;
 pub mod publisher;
--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -10,86 +10,86 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Largest body of a message, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Most requests held at once.
-    pub open: usize,
+    pub max_open: usize,
     /// Most connections from the platform's clients and runners.
-    pub clients: usize,
+    pub max_client_connections: usize,
     /// Most connections of Faktory clients and workers.
-    pub callers: usize,
+    pub max_faktory_connections: usize,
     /// Longest Faktory frame, in bytes.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Most connections to runners.
-    pub runners: usize,
+    pub max_runner_connections: usize,
     /// Connections that may wait to be accepted.
     pub backlog: u32,
     /// Wait before a listener that ran out of descriptors tries again.
     pub accept_pause: Duration,
     /// Longest head of a message, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Time for a client to write a request's head, from its connection or the head's first byte on.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Time for a client to write a request's body.
-    pub body_wait: Duration,
+    pub body_timeout: Duration,
     /// Time for which a closing connection is read on, so that its last answer arrives.
-    pub linger: Duration,
+    pub linger_timeout: Duration,
     /// Time without a byte after which a new connection may be closed to make room.
-    pub silent: Duration,
+    pub evict_silent_after: Duration,
     /// Time for which a client's idle connection stays open.
     pub keep_alive: Duration,
     /// Time for a connection to a runner to come up.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Idle time after which a connection to a runner is not used any more.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Age at which a connection to a runner is closed, however much it is used.
-    pub lifetime: Duration,
+    pub max_connection_age: Duration,
     /// Shortest idle time after which a connection may be closed to make room.
-    pub resting: Duration,
+    pub evict_idle_after: Duration,
     /// Time between looks at what only time brings about.
-    pub sweep: Duration,
+    pub sweep_interval: Duration,
     /// Time for which a worker may run a job that nobody waits for any more.
-    pub reserve: Duration,
+    pub orphan_timeout: Duration,
     /// Time between summaries in the log.
-    pub summary: Duration,
+    pub summary_interval: Duration,
     /// Time for the last answers to go out at the end.
-    pub flush: Duration,
+    pub flush_timeout: Duration,
     /// Time for a probe's answer.
-    pub probe: Duration,
+    pub probe_timeout: Duration,
     /// Time for a runner to confirm that it gives a job up.
-    pub give_up: Duration,
+    pub cancel_timeout: Duration,
     /// Time for discovery to tell the first of its answer; what comes later is still taken.
-    pub list: Duration,
+    pub list_timeout: Duration,
     /// Time without a whole line after which a watch counts as silent.
-    pub watch_silence: Duration,
+    pub watch_silence_timeout: Duration,
     /// Time for which a watch that is late is read on, unless the next one tells something.
-    pub watch_late: Duration,
+    pub late_watch_timeout: Duration,
     /// Time from the start for which clients are sent elsewhere while there is no list yet.
-    pub admit: Duration,
+    pub admit_without_list_after: Duration,
     /// Longest line of a watch, in bytes.
-    pub watch_line: usize,
+    pub max_watch_line_bytes: usize,
     /// Time between two looks at what is left to do at the end.
-    pub look: Duration,
+    pub shutdown_poll_interval: Duration,
     /// What the store of clients' keys may hold, where keys are kept.
-    pub keys: Option<keys::Bounds>,
+    pub key_bounds: Option<keys::Bounds>,
     /// Time for which a class that new settings no longer name is taken still.
-    pub vanished: Duration,
+    pub removed_class_grace: Duration,
     /// Time after which the figures on runners are brought up to date.
-    pub count: Duration,
+    pub runner_count_interval: Duration,
     /// Time for the other process of an upgrade to take a call-back.
-    pub hand_on: Duration,
+    pub hand_on_timeout: Duration,
     /// Time between two looks at the file of bans that a process shares with its successor.
-    pub bans: Duration,
+    pub disabled_sync_interval: Duration,
 }
 
 impl Limits {
     /// The same with a store of clients' keys.
     pub fn with_keys(self, bounds: Option<keys::Bounds>) -> Limits {
-        Limits { keys: bounds, ..self }
+        Limits { key_bounds: bounds, ..self }
     }
 
     /// For how long the program goes on as usual after SIGTERM, and when whatever is unanswered is answered
     /// and it ends, where the settings in force have such a longest deadline.
-    pub fn end(&self, longest: Duration) -> (Duration, Duration) {
+    pub fn shutdown_times(&self, longest: Duration) -> (Duration, Duration) {
         // SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most. What it finds
         // unanswered is lost, so the end keeps a distance from it that a busy machine needs.
         let stop = longest.min(Duration::from_secs(3)) + Duration::from_millis(400);
@@ -111,50 +111,50 @@
         let fits = memory_mb.max(16) * 1024 * 1024 / 4 / body;
         let told = env.limits.max_open.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
         Limits {
-            body,
-            open: fits.min(told).max(1),
-            clients: accepted - callers,
-            callers,
+            max_body_bytes: body,
+            max_open: fits.min(told).max(1),
+            max_client_connections: accepted - callers,
+            max_faktory_connections: callers,
             // A job's arguments, and as much again for what stands round them.
-            frame: body * 2,
-            runners: free - accepted,
+            max_frame_bytes: body * 2,
+            max_runner_connections: free - accepted,
             backlog: 1024,
-            lifetime: Duration::from_secs(24 * 3600),
-            resting: Duration::from_millis(50),
-            sweep: Duration::from_secs(1),
-            reserve: Duration::from_secs(1800),
-            summary: Duration::from_secs(10),
-            flush: Duration::from_millis(100),
+            max_connection_age: Duration::from_secs(24 * 3600),
+            evict_idle_after: Duration::from_millis(50),
+            sweep_interval: Duration::from_secs(1),
+            orphan_timeout: Duration::from_secs(1800),
+            summary_interval: Duration::from_secs(10),
+            flush_timeout: Duration::from_millis(100),
             accept_pause: Duration::from_millis(20),
-            head_bytes: 16 * 1024,
+            max_head_bytes: 16 * 1024,
             // Together under 3 s, by which whoever sends half a request is owed an error.
-            head: Duration::from_millis(1400),
-            body_wait: Duration::from_millis(1300),
-            linger: Duration::from_secs(1),
+            head_timeout: Duration::from_millis(1400),
+            body_timeout: Duration::from_millis(1300),
+            linger_timeout: Duration::from_secs(1),
             // Clients connect when they have something to send; on a busy machine that may take a while.
-            silent: Duration::from_millis(250),
+            evict_silent_after: Duration::from_millis(250),
             keep_alive: Duration::from_secs(60),
-            connect: Duration::from_nanos(env.limits.connect_timeout.unwrap_or(250_000_000)),
-            idle: idle * 7 / 10,
-            probe: Duration::from_millis(500),
-            give_up: Duration::from_secs(1),
+            connect_timeout: Duration::from_nanos(env.limits.connect_timeout.unwrap_or(250_000_000)),
+            idle_timeout: idle * 7 / 10,
+            probe_timeout: Duration::from_millis(500),
+            cancel_timeout: Duration::from_secs(1),
             // A call that fails so late leaves time for another: docs/design/fleet.md has the sum.
-            list: Duration::from_millis(1500),
+            list_timeout: Duration::from_millis(1500),
             // An empty line comes every 2 s; what a silent watch misses counts as told 6 s after.
-            watch_silence: Duration::from_millis(2500),
-            watch_late: Duration::from_secs(10),
+            watch_silence_timeout: Duration::from_millis(2500),
+            late_watch_timeout: Duration::from_secs(10),
             // Well within the 6 s in which nine in ten have to be ready.
-            admit: Duration::from_secs(4),
-            watch_line: 4 * 1024 * 1024,
-            look: Duration::from_millis(5),
-            keys: None,
+            admit_without_list_after: Duration::from_secs(4),
+            max_watch_line_bytes: 4 * 1024 * 1024,
+            shutdown_poll_interval: Duration::from_millis(5),
+            key_bounds: None,
             // A ban holds from the yes, 1 s after the call at the latest, at either process.
-            bans: Duration::from_millis(250),
-            count: Duration::from_millis(100),
-            hand_on: Duration::from_millis(300),
+            disabled_sync_interval: Duration::from_millis(250),
+            runner_count_interval: Duration::from_millis(100),
+            hand_on_timeout: Duration::from_millis(300),
             // New settings are in use 1.2 s after SIGHUP; a client's last job of an old class is on its way
             // for a while then.
-            vanished: Duration::from_secs(2),
+            removed_class_grace: Duration::from_secs(2),
         }
     }
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::by_hand::{carry_out, follow_bans};
+use sablerun_node::admin_calls::{serve_calls, sync_disabled};
 use sablerun_node::cli::{Cli, Command};
 use sablerun_node::config::{read_config, reload};
 use sablerun_node::core::Input;
@@ -14,7 +14,7 @@
 use sablerun_node::net::platform::shutdown::Shutdown;
 use sablerun_node::operator::Operator;
 use sablerun_node::runtime::Clock;
-use sablerun_node::{assembly, bans, cli, jobs_cli, logging, net, publisher, snapshots};
+use sablerun_node::{assembly, cli, disabled_file, jobs_cli, logging, net, publisher, snapshots};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -61,7 +61,7 @@
     let operator = args.config.as_deref().map(|path| Ok::<_, String>((path, Operator::read(path)?)));
     let operator = operator.transpose()?;
     let (config, _) = read_config()?;
-    let (_, tables) = config.settle()?;
+    let (_, tables) = config.to_settings()?;
     config.seed()?;
     if let Some((path, operator)) = &operator {
         operator.check(&tables, config.limits.memory_mb).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -76,7 +76,7 @@
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
     let operator = operator.as_deref().map_or(Ok(Operator::default()), Operator::read)?;
     let (config, mut text) = read_config()?;
-    let (settings, tables) = config.settle()?;
+    let (settings, tables) = config.to_settings()?;
     let agent = settings.discovery == sr::Discovery::Agent;
     config.seed()?;
     let machine = &config.limits;
@@ -89,10 +89,10 @@
     let doubts: Vec<_> = kept.iter().flat_map(|k| settings.classes.iter().map(|c| k.doubt(c))).collect();
     let snapshot_file = kept.as_ref().and_then(|kept| kept.snapshot.clone());
     let clock = Clock::new();
-    let store = limits.keys.zip(rules).map(|(bounds, rules)| keys::Store::new(bounds, rules));
+    let store = limits.key_bounds.zip(rules).map(|(bounds, rules)| keys::Store::new(bounds, rules));
     let place = snapshot_file.as_ref().map(snapshots::Place::take).transpose()?;
     let store = store.map(|store| snapshots::remember(store, &doubts, &tables, place.as_ref(), clock.now()));
-    let runtime = assembly::runtime(&config, (settings, tables), clock, limits, store)?;
+    let runtime = assembly::build_runtime(&config, (settings, tables), clock, limits, store)?;
     if let (Some(place), Some(now)) = (&place, snapshots::of(&runtime, false)) {
         // Before the first request: else a kill would leave an orderly end's snapshot to be trusted.
         place.write(&now).map_err(|e| format!("keys.snapshot.file: {e}"))?;
@@ -106,7 +106,7 @@
     let door =
         admin.map(|at| net::admin::bind(at).map_err(|e| format!("admin_addr: {at}: {e}"))).transpose()?;
 
-    let (_, roster) = assembly::join(&runtime);
+    let (_, roster) = assembly::connect(&runtime);
     if let Some(digest) = &digest {
         net::digest::DigestSubscriber::start(&runtime, digest);
     }
@@ -130,33 +130,33 @@
     // What an agent holds counts as told from the first moment: what was known before is of no use then.
     let known = config.known.filter(|_| !agent);
     let bound = listener.local_addr().ok();
-    let front = assembly::begin(&runtime, &roster, known, listener);
+    let front = assembly::start(&runtime, &roster, known, listener);
     let listen = bound.unwrap_or(config.listen);
     if let Some(door) = door {
         let at = door.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
         let (asks, asked) = tokio::sync::mpsc::unbounded_channel();
         let limits = net::admin::AdminLimits::default();
-        net::admin::start(door, runtime.figures.clone(), asks, limits)
+        net::admin::start(door, runtime.metrics.clone(), asks, limits)
             .map_err(|e| format!("admin_addr: {e}"))?;
-        let place = bans::place();
-        follow_bans(&runtime, &place);
-        actix_rt::spawn(carry_out(runtime.clone(), asked, place.clone()));
+        let place = disabled_file::path();
+        sync_disabled(&runtime, &place);
+        actix_rt::spawn(serve_calls(runtime.clone(), asked, place.clone()));
         let held = runtime.clone();
         actix_rt::spawn(async move {
             loop {
-                tokio::time::sleep(held.limits.bans).await;
-                follow_bans(&held, &place);
-                held.count_runners();
+                tokio::time::sleep(held.limits.disabled_sync_interval).await;
+                sync_disabled(&held, &place);
+                held.update_runner_metrics();
             }
         });
         // Once the door is served, so that whoever reads the register is answered.
-        match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.hand_on) {
+        match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.hand_on_timeout) {
             Ok(peers) => front.forward_call_backs_to(peers),
             Err(e) => log::warn!("call-backs of an upgrade are not handed on: $TMPDIR: {e}"),
         }
         log::info!("operators' door on {at}");
     }
-    runtime.figures.ready.store(true, std::sync::atomic::Ordering::Relaxed);
+    runtime.metrics.ready.store(true, std::sync::atomic::Ordering::Relaxed);
     log::info!("{} ready on {listen}, discovery at {}", config.name, config.discovery);
 
     let second = second.map(|(front, listener)| {
@@ -181,7 +181,7 @@
         let held = runtime.clone();
         actix_rt::spawn(async move { writer.keep_up(&held).await })
     });
-    let mut summary = tokio::time::interval(runtime.limits.summary);
+    let mut summary = tokio::time::interval(runtime.limits.summary_interval);
     loop {
         tokio::select! {
             // In this order: the end goes by the settings that were in force when it was told.
@@ -200,13 +200,13 @@
     });
     // Clients and call-backs find everything as usual for a spell. After it clients are sent elsewhere,
     // but runners' call-backs still come in: the listeners stay open to the end.
-    runtime.figures.ready.store(false, std::sync::atomic::Ordering::Relaxed);
-    let (spell, stop) = runtime.end();
+    runtime.metrics.ready.store(false, std::sync::atomic::Ordering::Relaxed);
+    let (spell, stop) = runtime.shutdown_times();
     log::info!("told to end within {:.3} s: {}", stop.as_secs_f64(), runtime.summary());
     runtime.feed(Input::StopAt(runtime.clock.now() + sr::Span(stop.as_nanos() as u64)));
     let shared = inherited.is_some();
     let spell = if shared { Duration::ZERO } else { spell };
-    front.shut_down(Shutdown::new(spell, stop, runtime.limits.flush), shared).await;
+    front.shut_down(Shutdown::new(spell, stop, runtime.limits.flush_timeout), shared).await;
     if let Some(writing) = writing {
         writing.abort();
         let _ = writing.await;
--- a/node/src/figures.rs
+++ b/node/src/metrics.rs
@@ -13,7 +13,7 @@
 
 /// How a job's final answer counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counted {
+pub enum AnswerKind {
     /// Served: the runner's result went back.
     Answered,
     /// Refused: trying again is harmless.
@@ -24,18 +24,18 @@
 
 /// The three counts of one class.
 #[derive(Debug, Default)]
-pub struct ClassFigures {
+pub struct ClassMetrics {
     answered: AtomicU64,
     deferred: AtomicU64,
     errored: AtomicU64,
 }
 
-impl ClassFigures {
-    pub fn count(&self, counted: Counted) {
+impl ClassMetrics {
+    pub fn count(&self, counted: AnswerKind) {
         let counter = match counted {
-            Counted::Answered => &self.answered,
-            Counted::Deferred => &self.deferred,
-            Counted::Errored => &self.errored,
+            AnswerKind::Answered => &self.answered,
+            AnswerKind::Deferred => &self.deferred,
+            AnswerKind::Errored => &self.errored,
         };
         counter.fetch_add(1, Relaxed);
     }
@@ -43,9 +43,9 @@
 
 /// Every figure of the process, from 0 at its start.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// Each class by its name, in the order they were first seen.
-    classes: Mutex<Vec<(String, Arc<ClassFigures>)>>,
+    classes: Mutex<Vec<(String, Arc<ClassMetrics>)>>,
     /// Attempts written whole to runners.
     pub sends: AtomicU64,
     /// Jobs taken and not ended.
@@ -62,20 +62,20 @@
     pub ready: AtomicBool,
 }
 
-impl Figures {
+impl Metrics {
     /// The counters of a class, made on first use.
-    pub fn class(&self, name: &str) -> Arc<ClassFigures> {
+    pub fn class(&self, name: &str) -> Arc<ClassMetrics> {
         self.find_or_make(name, usize::MAX).unwrap_or_default()
     }
 
     /// The counters of a class that clients name, where the registry has room for one more: names
     /// that no class has must not grow it without end.
-    pub fn class_if_room(&self, name: &str) -> Option<Arc<ClassFigures>> {
+    pub fn class_if_room(&self, name: &str) -> Option<Arc<ClassMetrics>> {
         self.find_or_make(name, MOST_CLASSES)
     }
 
     /// A class's counters, made where fewer than `most` classes are known.
-    fn find_or_make(&self, name: &str, most: usize) -> Option<Arc<ClassFigures>> {
+    fn find_or_make(&self, name: &str, most: usize) -> Option<Arc<ClassMetrics>> {
         // A poisoned lock only means that a thread panicked while it held it; the counters stay true.
         let mut classes = self.classes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some((_, figures)) = classes.iter().find(|(known, _)| known == name) {
@@ -84,7 +84,7 @@
         if classes.len() >= most {
             return None;
         }
-        let figures = Arc::new(ClassFigures::default());
+        let figures = Arc::new(ClassMetrics::default());
         classes.push((name.to_owned(), figures.clone()));
         Some(figures)
     }
@@ -98,7 +98,7 @@
     }
 
     /// The page: one `name=value` a line, each ended by a newline.
-    pub fn page(&self) -> String {
+    pub fn render(&self) -> String {
         let mut page = String::new();
         let classes = self.classes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         for (name, figures) in classes.iter() {
--- a/node/src/net/admin.rs
+++ b/node/src/net/admin.rs
@@ -5,7 +5,7 @@
 //! core. It owns the listener, the reading of a call within its size and time, and the words of the
 //! answers. It must never decide anything itself, nor wait on a caller longer than a call may take.
 
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -117,7 +117,7 @@
 /// Serves the door on a thread of its own, until the process ends.
 pub fn start(
     listener: std::net::TcpListener,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
     asks: mpsc::UnboundedSender<OperationRequest>,
     limits: AdminLimits,
 ) -> io::Result<()> {
@@ -195,14 +195,14 @@
 
 pub async fn execute(
     call: Command,
-    figures: &Figures,
+    figures: &Metrics,
     asks: &mpsc::UnboundedSender<OperationRequest>,
     limits: AdminLimits,
 ) -> String {
     let operation = match call {
         Command::Ready if figures.ready.load(Relaxed) => return "OK ready\n".to_owned(),
         Command::Ready => return "ERR not ready: starting or ending\n".to_owned(),
-        Command::Stats => return format!("OK\n{}END\n", figures.page()),
+        Command::Stats => return format!("OK\n{}END\n", figures.render()),
         Command::Disable(runner) => Operation::SetDisabled { runner, disabled: true },
         Command::Enable(runner) => Operation::SetDisabled { runner, disabled: false },
         Command::CallBack(call_back) => Operation::CallBack(call_back),
--- a/node/src/net/callbacks.rs
+++ b/node/src/net/callbacks.rs
@@ -2,7 +2,7 @@
 //! process of an upgrade, the door. It owns the form of a call-back and what each state means. It must
 //! never answer a runner, nor look for the job elsewhere.
 
-use crate::core::{Ending, Input};
+use crate::core::{AttemptEnd, Input};
 use crate::net::runners::{load_object, result_bytes};
 use crate::runtime::Runtime;
 use sablerun as sr;
@@ -36,6 +36,6 @@
         other => return log::warn!("call-back with state {other:?} from {from}: passed over"),
     };
     let report = told.load.and_then(|load| runtime.with_tables(|tables| load_object(tables, &load)));
-    let ending = Ending { outcome, result: result_bytes(told.result), report };
-    runtime.feed(Input::Told { id, from, ending });
+    let ending = AttemptEnd { outcome, result: result_bytes(told.result), report };
+    runtime.feed(Input::Finished { id, from, end: ending });
 }
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -5,7 +5,7 @@
 use crate::core::Input;
 use crate::net::runners::Pool;
 use crate::operator;
-use crate::runtime::{Digests, Runtime};
+use crate::runtime::{DigestSource, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
@@ -40,7 +40,7 @@
             silent: section.silent(),
             anew: Notify::new(),
         });
-        runtime.set_digests(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
+        runtime.set_digest_source(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
         actix_rt::spawn(async move { digest.keep_up().await });
     }
 
@@ -81,8 +81,8 @@
     }
 }
 
-impl Digests for DigestSubscriber {
-    fn ask_whole(&self) {
+impl DigestSource for DigestSubscriber {
+    fn fetch_full(&self) {
         self.anew.notify_one();
     }
 }
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -4,12 +4,12 @@
 //! again: a watch that breaks or falls silent is reported, and the module asks. One that is late, with its
 //! first list or later, is read on until the next one tells something.
 
-use crate::core::{Input, Listed, Source};
+use crate::core::{Input, ListedRunner, Source};
 use crate::net::hosts::Hosts;
 use crate::net::json_stream::JsonStream;
 use crate::net::loss::{Due, Loss, Lost};
 use crate::net::runners::{Pool, RunnerLink};
-use crate::runtime::{Roster, Runtime};
+use crate::runtime::{RunnerListSource, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
@@ -91,7 +91,7 @@
                 }
                 Err(_) => {}
             }
-            listed.push(Listed {
+            listed.push(ListedRunner {
                 name: host.host,
                 zone: host.site,
                 kind: host.class,
@@ -128,7 +128,7 @@
         let url = format!("http://{at}/discovery/hosts?stream=1&index={asked}");
         // A connection of its own: one kept from an earlier call may be closed as this is written.
         let request = self.client.get(url).address(at).no_decompress().force_close().send();
-        let mut due = Due::new(limits.list, limits.watch_late);
+        let mut due = Due::new(limits.list_timeout, limits.late_watch_timeout);
         let late = |why: &str, lost| {
             if self.number.get() == number {
                 self.lose("watch", Loss { why: why.to_owned(), lost });
@@ -138,7 +138,7 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        let (mut objects, mut heard) = (JsonStream::new(limits.watch_line), false);
+        let (mut objects, mut heard) = (JsonStream::new(limits.max_watch_line_bytes), false);
         loop {
             let told = due.wait(response.next(), || match heard {
                 true => late("silent", Lost::Silent),
@@ -154,7 +154,7 @@
             heard |= told;
             // Bytes alone are no sign of life: a whole object is, and then an empty line, which comes every 2 s.
             if told || heard && objects.line() {
-                due = Due::new(limits.watch_silence, limits.watch_late);
+                due = Due::new(limits.watch_silence_timeout, limits.late_watch_timeout);
                 if self.moves.get() == moves {
                     self.alive();
                 }
@@ -175,10 +175,11 @@
             if response.status() != StatusCode::OK {
                 return Err(format!("answered {}", response.status()).into());
             }
-            let body = response.body().limit(runtime.limits.watch_line).await;
+            let body = response.body().limit(runtime.limits.max_watch_line_bytes).await;
             body.map_err(|e| Loss::from(e.to_string()))
         };
-        let body = tokio::time::timeout(runtime.limits.list, call).await.map_err(|_| "no answer")??;
+        let body =
+            tokio::time::timeout(runtime.limits.list_timeout, call).await.map_err(|_| "no answer")??;
         let hosts = serde_json::from_slice(&body).map_err(|e| format!("the list can't be read: {e}"))?;
         self.take_from(moves, asked, hosts);
         Ok(())
@@ -196,7 +197,7 @@
     }
 }
 
-impl Roster for DiscoveryClient {
+impl RunnerListSource for DiscoveryClient {
     fn subscribe(&self, at: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
         let moved = self.at.replace(Some(at)).is_some_and(|before| before != at);
@@ -231,7 +232,7 @@
         });
     }
 
-    fn told(&self) -> bool {
+    fn has_list(&self) -> bool {
         self.told.get()
     }
 }
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -5,11 +5,11 @@
 //! or not. It must never choose a worker, repeat a job by itself or hand one out after its worker
 //! went quiet; what a worker says of a job already settled changes nothing.
 
-use crate::core::{Answer, Arrival, AttemptId, Ending, Input, Listed, Source};
+use crate::core::{Answer, Arrival, AttemptEnd, AttemptId, Input, ListedRunner, Source};
 use crate::limits::Limits;
 use crate::net::runners::result_bytes;
 use crate::net::spiffe::{self, Identities, SpiffeId};
-use crate::runtime::{Here, Job, Link, Runtime};
+use crate::runtime::{ClientGuard, Job, Link, Runtime};
 use bytes::{Buf, Bytes, BytesMut};
 use sablerun as sr;
 use serde_json::{Value, json};
@@ -145,7 +145,7 @@
     ///
     /// Names the key at fault.
     pub fn check(&self, tables: &sablerun_settings::Tables) -> Result<(), String> {
-        let known = |what: &sablerun_settings::Names, name: &Option<String>, key: &str| match name {
+        let known = |what: &sablerun_settings::NameTable, name: &Option<String>, key: &str| match name {
             Some(name) if what.get(name).is_none() => Err(format!("{key}: {name:?} is not in the settings")),
             _ => Ok(()),
         };
@@ -324,7 +324,7 @@
             Err(e) => return log::error!("tls: {e}"),
         };
         loop {
-            while self.connections.get() >= self.runtime.limits.callers {
+            while self.connections.get() >= self.runtime.limits.max_faktory_connections {
                 self.closed.notified().await;
             }
             let (stream, from) = match listener.accept().await {
@@ -343,7 +343,8 @@
                 match acceptor {
                     None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
-                        let shaken = tokio::time::timeout(front.runtime.limits.head, acceptor.accept(stream));
+                        let shaken =
+                            tokio::time::timeout(front.runtime.limits.head_timeout, acceptor.accept(stream));
                         match shaken.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
                                 Ok(peer) => front.serve_connection(stream, peer).await,
@@ -362,7 +363,7 @@
     pub async fn run_maintenance(self: Rc<Self>) {
         let limit = Duration::from_secs_f64(self.gateway.beat_limit_s);
         let reload = self.gateway.tls.as_ref().map_or(f64::MAX, |tls| tls.reload_s);
-        let sweep = self.runtime.limits.sweep.as_secs_f64();
+        let sweep = self.runtime.limits.sweep_interval.as_secs_f64();
         let pause = (limit.as_secs_f64() / 10.0).min(sweep).min(reload);
         let mut looked = Instant::now();
         loop {
@@ -373,8 +374,9 @@
                 workers.iter().filter(|(_, w)| silent(w)).map(|(wid, _)| wid.clone()).collect();
             drop(workers);
             // A job that nobody waits for is kept in mind only while its worker may rightly run it.
-            let old =
-                |job: &Running| job.attempt.is_none() && job.since.elapsed() > self.runtime.limits.reserve;
+            let old = |job: &Running| {
+                job.attempt.is_none() && job.since.elapsed() > self.runtime.limits.orphan_timeout
+            };
             let mut workers = self.workers.borrow_mut();
             workers.values_mut().for_each(|worker| worker.running.retain(|_, job| !old(job)));
             drop(workers);
@@ -427,7 +429,7 @@
     pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
         self.numbers.set(self.numbers.get() + 1);
         let number = self.numbers.get();
-        let Limits { frame: most, body_wait: pace, .. } = self.runtime.limits;
+        let Limits { max_frame_bytes: most, body_timeout: pace, .. } = self.runtime.limits;
         let mut wire = Wire { stream, buffer: BytesMut::new(), most, pace };
         let mut session = Session { front: self.clone(), number, wid: None };
         let ended = self.hello(&mut wire, &peer, &mut session).await;
@@ -439,10 +441,10 @@
         drop(session);
         if let Err(End::Say(word)) = ended {
             let last = format!("-ERR {word}\r\n");
-            let _ = tokio::time::timeout(self.runtime.limits.head, wire.say(&last)).await;
+            let _ = tokio::time::timeout(self.runtime.limits.head_timeout, wire.say(&last)).await;
             log::info!("faktory: connection of {} closed: {word}", peer.name);
             // Guards against a reset by what is unread, which may destroy the last word on its way.
-            let _ = tokio::time::timeout(self.runtime.limits.linger, wire.read_on()).await;
+            let _ = tokio::time::timeout(self.runtime.limits.linger_timeout, wire.read_on()).await;
         }
     }
 
@@ -458,7 +460,7 @@
             None => json!({"v": 2}),
         };
         wire.say(&format!("+HI {greeting}\r\n")).await?;
-        let line = tokio::time::timeout(self.runtime.limits.head, wire.line()).await;
+        let line = tokio::time::timeout(self.runtime.limits.head_timeout, wire.line()).await;
         let line = line.map_err(|_| End::Say("MALFORMED no HELLO in time".to_owned()))??;
         let malformed = |what: &str| End::Say(format!("MALFORMED HELLO: {what}"));
         let hello = line.strip_prefix("HELLO ").ok_or_else(|| malformed("it comes first"))?;
@@ -531,7 +533,7 @@
             Worker { quiet: true, .. } => sr::Standing::Draining,
             _ => sr::Standing::Ready,
         };
-        let listed = Listed {
+        let listed = ListedRunner {
             name: runner_name(wid),
             zone: worker.zone.clone(),
             kind: worker.kind.clone(),
@@ -541,7 +543,7 @@
             up_since: Some(worker.since),
         };
         drop(workers);
-        self.runtime.feed(Input::List(Source::Callers, sr::ListKind::Delta, vec![listed]));
+        self.runtime.feed(Input::List(Source::SelfRegistered, sr::ListKind::Delta, vec![listed]));
     }
 
     async fn commands<S: AsyncRead + AsyncWrite + Unpin>(
@@ -679,7 +681,7 @@
     ) -> Result<Result<(), String>, End> {
         let (ticket, mut answer) = self.runtime.ticket(arrival.class);
         arrival.ticket = ticket;
-        let _here = Here::new(&self.runtime, ticket);
+        let _here = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(arrival));
         let answer = loop {
             tokio::select! {
@@ -786,7 +788,7 @@
                 since: Instant::now(),
             };
             worker.running.insert(jid.clone(), running);
-            crate::figures::Figures::add(&self.runtime.figures.sends);
+            crate::metrics::Metrics::add(&self.runtime.metrics.sends);
             // If its connection has just gone, its end tells what becomes of the job.
             let _ = parked.hand_over.send(Handed { jid, frame });
         }
@@ -810,8 +812,8 @@
         drop(workers);
         if let Some(attempt) = running.attempt {
             let result = if outcome == sr::Outcome::Ok { told["result"].take() } else { Value::Null };
-            let ending = Ending { outcome, result: result_bytes(result), report };
-            self.runtime.feed(Input::Ended(attempt, ending));
+            let ending = AttemptEnd { outcome, result: result_bytes(result), report };
+            self.runtime.feed(Input::AttemptEnded(attempt, ending));
         }
         Ok(())
     }
@@ -840,7 +842,7 @@
 
     fn end(&self, attempts: Vec<AttemptId>, outcome: sr::Outcome) {
         for attempt in attempts {
-            self.runtime.feed(Input::Ended(attempt, Ending::bare(outcome)));
+            self.runtime.feed(Input::AttemptEnded(attempt, AttemptEnd::without_report(outcome)));
         }
     }
 
@@ -935,7 +937,7 @@
 }
 
 impl Link for Faktory {
-    fn leads_to(&self, runner: &str) -> bool {
+    fn reaches(&self, runner: &str) -> bool {
         runner.strip_prefix("wid:").is_some_and(|wid| self.workers.borrow().contains_key(wid))
     }
 
@@ -964,10 +966,11 @@
         };
         let report = workers.get(wid).map(Worker::report);
         drop(workers);
-        self.runtime.feed(Input::Ended(attempt, Ending { report, ..Ending::bare(outcome) }));
+        self.runtime
+            .feed(Input::AttemptEnded(attempt, AttemptEnd { report, ..AttemptEnd::without_report(outcome) }));
     }
 
-    fn give_up(&self, attempt: AttemptId) {
+    fn cancel(&self, attempt: AttemptId) {
         let Some((wid, jid)) = self.attempts.borrow_mut().remove(&attempt) else { return };
         if let Some(worker) = self.workers.borrow_mut().get_mut(&wid) {
             worker.waiting.retain(|job| job.attempt != attempt);
@@ -978,7 +981,7 @@
         }
     }
 
-    fn over(&self, attempt: AttemptId) {
+    fn forget(&self, attempt: AttemptId) {
         self.attempts.borrow_mut().remove(&attempt);
     }
 
@@ -989,7 +992,7 @@
         self.runtime.feed(Input::Probed { runner: runner.to_owned(), ok: report.is_some(), report });
     }
 
-    fn release(&self, _: &str) {
+    fn close_idle(&self, _: &str) {
         // Connections are the workers' own.
     }
 }
--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -95,7 +95,7 @@
             self.next.set(number + 1);
             let (front, its) = (self.clone(), connection.clone());
             let task = actix_rt::spawn(async move {
-                let linger = front.runtime.limits.linger;
+                let linger = front.runtime.limits.linger_timeout;
                 let ended = Ended { front, number };
                 if let Err(e) = handling.await {
                     log::debug!("connection from {peer}: {e}");
@@ -111,7 +111,7 @@
         loop {
             self.make_room();
             // At the limit the rest waits in the listener's queue, unless somebody can be closed.
-            while self.connections.borrow().len() >= limits.clients {
+            while self.connections.borrow().len() >= limits.max_client_connections {
                 let _ = tokio::time::timeout(limits.accept_pause, self.closed.notified()).await;
                 self.make_room();
             }
--- a/node/src/net/platform/closing.rs
+++ b/node/src/net/platform/closing.rs
@@ -16,7 +16,8 @@
     pub(super) fn make_room(&self) {
         let limits = &self.runtime.limits;
         let connections = self.connections.borrow();
-        let wanted = (connections.len() + limits.clients / 16 + 1).saturating_sub(limits.clients);
+        let wanted = (connections.len() + limits.max_client_connections / 16 + 1)
+            .saturating_sub(limits.max_client_connections);
         let leaving = connections.values().filter(|(c, _)| c.leaves()).count();
         if wanted > leaving {
             let mut spare: Vec<_> =
@@ -27,10 +28,10 @@
                 .take(wanted - leaving)
                 .for_each(|(_, connection)| connection.ask(CloseMode::Immediate));
         }
-        if connections.len() >= limits.clients {
+        if connections.len() >= limits.max_client_connections {
             // Its last answer has been out for a while, and its client does not end its side.
             let ended = |(c, _): &&(Rc<Connection>, AbortHandle)| {
-                c.ends() && c.touched.get().elapsed() > limits.flush
+                c.ends() && c.touched.get().elapsed() > limits.flush_timeout
             };
             if let Some((_, task)) = connections.values().find(ended) {
                 task.abort();
@@ -43,7 +44,7 @@
     pub(super) fn crowded(&self) -> bool {
         let used = |(c, _): &&(Rc<Connection>, AbortHandle)| c.carried.get() != Carried::Nothing;
         let used = self.connections.borrow().values().filter(used).count();
-        used * 10 >= self.runtime.limits.clients * 9
+        used * 10 >= self.runtime.limits.max_client_connections * 9
     }
 
     /// The way to the program's end. A shared socket has a successor behind it: new connections are its,
@@ -63,7 +64,7 @@
             match ending.step(&seen) {
                 Phase::Draining if before == Phase::Serving => {
                     log::info!("lets clients go: {}", self.runtime.summary());
-                    self.runtime.stop();
+                    self.runtime.begin_shutdown();
                     // But not runners, whose call-backs the jobs under way still need.
                     self.ask_all(|c| c.carried.get() == Carried::Requests, CloseMode::Graceful);
                 }
@@ -80,7 +81,7 @@
                 _ => {}
             }
             let pause = ending.next_check().saturating_sub(told.elapsed());
-            tokio::time::sleep(pause.max(self.runtime.limits.look)).await;
+            tokio::time::sleep(pause.max(self.runtime.limits.shutdown_poll_interval)).await;
         }
     }
 
--- a/node/src/net/platform/connection.rs
+++ b/node/src/net/platform/connection.rs
@@ -75,10 +75,10 @@
             _ if self.leaves() => return None,
             (Stage::HeadRead | Stage::ReadingBody(_) | Stage::AwaitingResponse, _) => return None,
             // Its client takes nothing of the answer.
-            (Stage::WritingResponse, _) => (0, limits.head),
-            (_, Carried::Nothing) => (1, limits.silent),
-            (_, Carried::Requests) => (2, limits.sweep),
-            (_, Carried::CallBacks) => (3, limits.sweep),
+            (Stage::WritingResponse, _) => (0, limits.head_timeout),
+            (_, Carried::Nothing) => (1, limits.evict_silent_after),
+            (_, Carried::Requests) => (2, limits.sweep_interval),
+            (_, Carried::CallBacks) => (3, limits.sweep_interval),
         };
         (rested > least).then_some((rank, touched))
     }
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -3,14 +3,14 @@
 //! has handed to the core, nor keep one back.
 
 use crate::core::{Answer, Arrival, Input};
-use crate::figures::Counted;
+use crate::metrics::AnswerKind;
 use crate::net::callbacks::{self, CallBack};
 use crate::net::peers::Forwarded;
 use crate::net::platform::Front;
 use crate::net::platform::connection::{Carried, Connection};
 use crate::net::platform::head::{Head, text};
 use crate::net::platform::reply::Reply;
-use crate::runtime::{Here, Job};
+use crate::runtime::{ClientGuard, Job};
 use actix_http::header::{self, HeaderName};
 use actix_http::{HttpMessage, Method, Request, Response, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -33,7 +33,7 @@
             _ if !ours => Reply { close: true, ..Reply::new(StatusCode::SERVICE_UNAVAILABLE, "") },
             ("/api", &Method::POST) => self.job(arrived, &mut request).await,
             ("/v1/job-events", &Method::POST) => self.call_back(&mut request).await,
-            ("/up", &Method::GET) if self.runtime.admits() => Reply::new(StatusCode::OK, ""),
+            ("/up", &Method::GET) if self.runtime.accepts_clients() => Reply::new(StatusCode::OK, ""),
             ("/up", &Method::GET) => Reply::new(StatusCode::SERVICE_UNAVAILABLE, "no list yet"),
             ("/api" | "/v1/job-events", _) => Reply::not_allowed("POST"),
             ("/up", _) => Reply::not_allowed("GET"),
@@ -86,7 +86,7 @@
         let key = self.runtime.key_of(head.class, &job);
         let (ticket, answer) = self.runtime.ticket(head.class);
         // Dropped with this future when the connection closes before the answer.
-        let _here = Here::new(&self.runtime, ticket);
+        let _here = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(Arrival {
             ticket,
             id: head.id.into(),
@@ -120,15 +120,18 @@
     /// that are handed in, which the runtime counts.
     fn turned_away(&self, request: &Request) {
         let named = text(request.headers(), &HeaderName::from_static("x-priority-class")).ok().flatten();
-        if let Some(class) = named.and_then(|name| self.runtime.figures.class_if_room(name)) {
-            class.count(Counted::Errored);
+        if let Some(class) = named.and_then(|name| self.runtime.metrics.class_if_room(name)) {
+            class.count(AnswerKind::Errored);
         }
     }
 
     async fn read_body(&self, request: &mut Request) -> Result<Bytes, Reply> {
         let limits = &self.runtime.limits;
         let told = text(request.headers(), &header::CONTENT_LENGTH).ok().flatten();
-        if told.and_then(|length| length.parse::<usize>().ok()).is_some_and(|length| length > limits.body) {
+        if told
+            .and_then(|length| length.parse::<usize>().ok())
+            .is_some_and(|length| length > limits.max_body_bytes)
+        {
             return Err(Reply::too_large());
         }
         let mut payload = request.take_payload();
@@ -136,7 +139,7 @@
             let mut body = BytesMut::new();
             while let Some(chunk) = payload.next().await {
                 let chunk = chunk.map_err(|e| Reply::bad(format!("body: {e}")))?;
-                if body.len() + chunk.len() > limits.body {
+                if body.len() + chunk.len() > limits.max_body_bytes {
                     return Err(Reply::too_large());
                 }
                 body.extend_from_slice(&chunk);
@@ -144,7 +147,7 @@
             Ok(body.freeze())
         };
         let late = Reply { close: true, ..Reply::new(StatusCode::REQUEST_TIMEOUT, "body: too slow") };
-        tokio::time::timeout(limits.body_wait, reading).await.unwrap_or(Err(late))
+        tokio::time::timeout(limits.body_timeout, reading).await.unwrap_or(Err(late))
     }
 
     /// A runner tells what became of a job. Whatever it is about, it hears at once that it arrived.
--- a/node/src/net/platform/stream.rs
+++ b/node/src/net/platform/stream.rs
@@ -50,7 +50,7 @@
 
 impl Guarded {
     pub fn new(stream: TcpStream, connection: Rc<Connection>, limits: &Limits) -> Guarded {
-        let Limits { head_bytes, head, keep_alive, .. } = *limits;
+        let Limits { max_head_bytes: head_bytes, head_timeout: head, keep_alive, .. } = *limits;
         let (stream, held) = (Some(stream), BytesMut::new());
         Guarded { stream, connection, held, ended: false, head_bytes, head, keep_alive, timer: None }
     }
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -10,7 +10,7 @@
 pub use pool::Pool;
 pub use report::{load_object, result_bytes};
 
-use crate::core::{AttemptId, Ending, Input};
+use crate::core::{AttemptEnd, AttemptId, Input};
 use crate::runtime::{Job, Link, Runtime};
 use attempt::Answered;
 use awc::Client;
@@ -62,7 +62,7 @@
         let pool = Pool::new(&runtime.limits);
         let client = pool.client(&runtime.limits);
         let sweep = pool.clone();
-        let pause = runtime.limits.sweep;
+        let pause = runtime.limits.sweep_interval;
         actix_rt::spawn(async move {
             loop {
                 tokio::time::sleep(pause).await;
@@ -103,7 +103,7 @@
         let mut response = request.send().await.ok()?;
         let head = self.header_report(response.headers());
         let runtime = self.runtime.upgrade()?;
-        let body = response.body().limit(runtime.limits.body).await.ok()?;
+        let body = response.body().limit(runtime.limits.max_body_bytes).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
@@ -135,13 +135,13 @@
                 for _ in 0..TELLINGS {
                     let call = this.client.delete(&url).address(at).no_decompress();
                     if let Ok(mut response) = call.send().await {
-                        told = response.body().limit(runtime.limits.body).await.ok();
+                        told = response.body().limit(runtime.limits.max_body_bytes).await.ok();
                         break;
                     }
                 }
                 told
             };
-            if !matches!(tokio::time::timeout(runtime.limits.give_up, call).await, Ok(Some(_))) {
+            if !matches!(tokio::time::timeout(runtime.limits.cancel_timeout, call).await, Ok(Some(_))) {
                 log::debug!("runner {} did not confirm that it gives {} up", key.1, key.0);
             }
             this.given_up.borrow_mut().remove(&key);
@@ -151,7 +151,7 @@
 }
 
 impl Link for RunnerLink {
-    fn leads_to(&self, runner: &str) -> bool {
+    fn reaches(&self, runner: &str) -> bool {
         self.addresses.borrow().contains_key(runner)
     }
 
@@ -173,7 +173,7 @@
             // Written whole unless it never got that far.
             let unsent = [sr::Outcome::ConnectFailed, sr::Outcome::Moot];
             if !matches!(&answered, Answered::Ended(e) if unsent.contains(&e.outcome)) {
-                crate::figures::Figures::add(&runtime.figures.sends);
+                crate::metrics::Metrics::add(&runtime.metrics.sends);
             }
             match answered {
                 Answered::Taken => {
@@ -181,10 +181,11 @@
                     took.set(true);
                 }
                 Answered::Unusable => runtime.feed(Input::Unusable(attempt)),
-                Answered::Ended(ending) => runtime.feed(Input::Ended(attempt, ending)),
+                Answered::Ended(ending) => runtime.feed(Input::AttemptEnded(attempt, ending)),
                 Answered::Garbled => {
                     this.withdraw(key.0, key.1, None);
-                    runtime.feed(Input::Ended(attempt, Ending::bare(sr::Outcome::Reset)));
+                    runtime
+                        .feed(Input::AttemptEnded(attempt, AttemptEnd::without_report(sr::Outcome::Reset)));
                 }
             }
         }));
@@ -192,7 +193,7 @@
         self.out.borrow_mut().insert(attempt, out);
     }
 
-    fn give_up(&self, attempt: AttemptId) {
+    fn cancel(&self, attempt: AttemptId) {
         let Some(out) = self.out.borrow_mut().remove(&attempt) else { return };
         if out.taken.get() {
             self.withdraw(out.id, out.runner, None);
@@ -205,7 +206,7 @@
         }
     }
 
-    fn over(&self, attempt: AttemptId) {
+    fn forget(&self, attempt: AttemptId) {
         // A call-back may come before the 202: the task that reads it ends by itself.
         self.out.borrow_mut().remove(&attempt);
     }
@@ -215,12 +216,13 @@
         let Some(&at) = self.addresses.borrow().get(runner) else { return };
         let runner = runner.to_owned();
         actix_rt::spawn(async move {
-            let probed = tokio::time::timeout(runtime.limits.probe, this.probed(at)).await.ok().flatten();
+            let probed =
+                tokio::time::timeout(runtime.limits.probe_timeout, this.probed(at)).await.ok().flatten();
             runtime.feed(Input::Probed { runner, ok: probed.is_some(), report: probed.flatten() });
         });
     }
 
-    fn release(&self, runner: &str) {
+    fn close_idle(&self, runner: &str) {
         if let Some(&at) = self.addresses.borrow().get(runner) {
             self.pool.close_idle(Duration::ZERO, |address| address == at);
         }
--- a/node/src/net/runners/attempt.rs
+++ b/node/src/net/runners/attempt.rs
@@ -4,7 +4,7 @@
 
 use super::RunnerLink;
 use super::pool::Leave;
-use crate::core::Ending;
+use crate::core::AttemptEnd;
 use crate::runtime::Job;
 use actix_http::error::ParseError;
 use awc::error::{ConnectError, SendRequestError};
@@ -19,7 +19,7 @@
     Taken,
     /// The request itself is at fault.
     Unusable,
-    Ended(Ending),
+    Ended(AttemptEnd),
     /// Nothing that makes sense: the runner may well have it.
     Garbled,
 }
@@ -56,7 +56,7 @@
             Err(e) => {
                 log::debug!("attempt {id} at {at}: {e}");
                 return match leave.refused() {
-                    true => Answered::Ended(Ending::bare(sr::Outcome::Moot)),
+                    true => Answered::Ended(AttemptEnd::without_report(sr::Outcome::Moot)),
                     false => unanswered(&e),
                 };
             }
@@ -68,7 +68,7 @@
         }
         let (status, report) = (response.status(), self.header_report(response.headers()));
         let turned_away = response.headers().get("X-Not-Processed").is_some_and(|v| v.as_bytes() == b"1");
-        let ended = |outcome| Answered::Ended(Ending { outcome, result: Bytes::new(), report });
+        let ended = |outcome| Answered::Ended(AttemptEnd { outcome, result: Bytes::new(), report });
         let answered = match status {
             StatusCode::ACCEPTED => Answered::Taken,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
@@ -89,7 +89,7 @@
         };
         // What a body holds is of no use, but unread it would cost the connection.
         if let Some(runtime) = self.runtime.upgrade() {
-            let (wait, most) = (runtime.limits.give_up, runtime.limits.body);
+            let (wait, most) = (runtime.limits.cancel_timeout, runtime.limits.max_body_bytes);
             actix_rt::spawn(async move {
                 let _ = tokio::time::timeout(wait, response.body().limit(most)).await;
             });
@@ -113,5 +113,5 @@
         }
         _ => sr::Outcome::Reset,
     };
-    Answered::Ended(Ending::bare(outcome))
+    Answered::Ended(AttemptEnd::without_report(outcome))
 }
--- a/node/src/net/runners/pool.rs
+++ b/node/src/net/runners/pool.rs
@@ -141,7 +141,8 @@
 
 impl Pool {
     pub fn new(limits: &Limits) -> Pool {
-        let Limits { runners: most, idle, resting, .. } = *limits;
+        let Limits { max_runner_connections: most, idle_timeout: idle, evict_idle_after: resting, .. } =
+            *limits;
         Pool { wires: Rc::default(), most, idle, resting }
     }
 
@@ -149,10 +150,10 @@
     pub fn client(&self, limits: &Limits) -> Client {
         let connector = Connector::new()
             .connector(self.clone())
-            .timeout(limits.connect)
-            .conn_keep_alive(limits.idle)
-            .conn_lifetime(limits.lifetime)
-            .limit(limits.runners);
+            .timeout(limits.connect_timeout)
+            .conn_keep_alive(limits.idle_timeout)
+            .conn_lifetime(limits.max_connection_age)
+            .limit(limits.max_runner_connections);
         Client::builder()
             .connector(connector)
             .disable_timeout()
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -11,13 +11,13 @@
 
 pub use clock::{Clock, unix_now};
 pub use job::Job;
-pub use links::{Digests, Link, Roster};
+pub use links::{DigestSource, Link, RunnerListSource};
 pub use observer::Observer;
-pub use waiting::Here;
+pub use waiting::ClientGuard;
 
 use crate::core::{Answer, AttemptId, Core, Effect, Input, Ticket};
-use crate::figures::{ClassFigures, Counted, Figures};
 use crate::limits::Limits;
+use crate::metrics::{AnswerKind, ClassMetrics, Metrics};
 use sablerun as sr;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -36,13 +36,13 @@
     inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
     stepping: Cell<bool>,
     links: RefCell<Vec<Rc<dyn Link>>>,
-    roster: RefCell<Option<Rc<dyn Roster>>>,
-    digests: RefCell<Option<Rc<dyn Digests>>>,
+    roster: RefCell<Option<Rc<dyn RunnerListSource>>>,
+    digests: RefCell<Option<Rc<dyn DigestSource>>>,
     waiting: RefCell<HashMap<Ticket, Waiting>>,
     /// The figures that the operators' door reads.
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<Metrics>,
     /// The counters of each class, by number: found without the registry's lock.
-    classes: RefCell<Vec<Arc<ClassFigures>>>,
+    classes: RefCell<Vec<Arc<ClassMetrics>>>,
     /// Operators' calls under way, and what came of the last.
     handed: RefCell<Option<(u64, Result<(), &'static str>)>>,
     tickets: Cell<u64>,
@@ -68,7 +68,7 @@
             roster: RefCell::default(),
             digests: RefCell::default(),
             waiting: RefCell::default(),
-            figures: Arc::new(Figures::default()),
+            metrics: Arc::new(Metrics::default()),
             classes: RefCell::default(),
             handed: RefCell::default(),
             tickets: Cell::new(0),
@@ -85,12 +85,12 @@
         self.links.borrow_mut().push(link);
     }
 
-    pub fn set_roster(&self, roster: Rc<dyn Roster>) {
+    pub fn set_list_source(&self, roster: Rc<dyn RunnerListSource>) {
         *self.roster.borrow_mut() = Some(roster);
     }
 
     /// Follows a digest with a frame each `every`, which is believed for so long after each.
-    pub fn set_digests(&self, digests: Rc<dyn Digests>, every: sr::Span, silent: sr::Span) {
+    pub fn set_digest_source(&self, digests: Rc<dyn DigestSource>, every: sr::Span, silent: sr::Span) {
         self.core.borrow_mut().follow_digest(every, silent);
         *self.digests.borrow_mut() = Some(digests);
     }
@@ -99,10 +99,10 @@
     /// # Errors
     ///
     /// Why it was turned down: the runner was never listed.
-    pub fn hand(&self, runner: String, out: bool, shared: bool) -> Result<(), &'static str> {
+    pub fn set_disabled(&self, runner: String, out: bool, shared: bool) -> Result<(), &'static str> {
         self.tickets.set(self.tickets.get() + 1);
         let call = self.tickets.get();
-        self.feed(Input::Hand { call, runner, out, shared });
+        self.feed(Input::SetDisabled { call, runner, disabled: out, from_peer: shared });
         match self.handed.borrow_mut().take() {
             Some((said, result)) if said == call => result,
             _ => Err("the call was not carried out: call again"),
@@ -115,12 +115,12 @@
         if self.stepping.replace(true) {
             return;
         }
-        let before = self.core.borrow().due();
+        let before = self.core.borrow().next_timer();
         let mut tells_of_runners = false;
         loop {
             let next = self.inputs.borrow_mut().pop_front();
             let Some(input) = next else { break };
-            tells_of_runners |= matches!(input, Input::List(..) | Input::Hand { .. });
+            tells_of_runners |= matches!(input, Input::List(..) | Input::SetDisabled { .. });
             tell_of(&input);
             let effects = self.step(input);
             for effect in effects {
@@ -128,11 +128,11 @@
             }
         }
         self.stepping.set(false);
-        Figures::set(&self.figures.current, self.core.borrow().open());
-        if tells_of_runners || self.counted.get().elapsed() > self.limits.count {
-            self.count_runners();
+        Metrics::set(&self.metrics.current, self.core.borrow().open());
+        if tells_of_runners || self.counted.get().elapsed() > self.limits.runner_count_interval {
+            self.update_runner_metrics();
         }
-        if self.core.borrow().due() != before {
+        if self.core.borrow().next_timer() != before {
             self.retimed.notify_one();
         }
     }
@@ -146,9 +146,9 @@
                 let waiting = self.waiting.borrow_mut().remove(&ticket);
                 if let Some((waiting, figures)) = waiting {
                     figures.count(match answer {
-                        Answer::Served(_) => Counted::Answered,
-                        Answer::Refused(_) => Counted::Deferred,
-                        Answer::Failed(_) | Answer::Unfit(_) => Counted::Errored,
+                        Answer::Served(_) => AnswerKind::Answered,
+                        Answer::Refused(_) => AnswerKind::Deferred,
+                        Answer::Failed(_) | Answer::Unfit(_) => AnswerKind::Errored,
                     });
                     // Fails only if the client has just left: nobody is owed anything then.
                     let _ = waiting.send(answer);
@@ -162,15 +162,15 @@
                 }
                 None => {
                     log::warn!("no way to runner {runner}: attempt not made");
-                    let ending = crate::core::Ending::bare(sr::Outcome::ConnectFailed);
-                    self.feed(Input::Ended(attempt, ending));
+                    let ending = crate::core::AttemptEnd::without_report(sr::Outcome::ConnectFailed);
+                    self.feed(Input::AttemptEnded(attempt, ending));
                 }
             },
-            Effect::GiveUp(attempt) => {
+            Effect::Cancel(attempt) => {
                 log::debug!("attempt {}.{} given up", attempt.request, attempt.number);
-                self.links.borrow().iter().for_each(|link| link.give_up(attempt));
+                self.links.borrow().iter().for_each(|link| link.cancel(attempt));
             }
-            Effect::Over(attempt) => self.links.borrow().iter().for_each(|link| link.over(attempt)),
+            Effect::Forget(attempt) => self.links.borrow().iter().for_each(|link| link.forget(attempt)),
             Effect::Subscribe(at) | Effect::Fetch(at) => {
                 let roster = self.roster.borrow().clone();
                 log::debug!("call for the list at {at}");
@@ -187,33 +187,33 @@
                     None => self.feed(Input::Probed { runner, ok: false, report: None }),
                 }
             }
-            Effect::AskDigest => {
+            Effect::FetchDigest => {
                 let digests = self.digests.borrow().clone();
-                digests.into_iter().for_each(|digests| digests.ask_whole());
+                digests.into_iter().for_each(|digests| digests.fetch_full());
             }
-            Effect::Handed { call, result } => *self.handed.borrow_mut() = Some((call, result)),
-            Effect::Release(runner) => {
+            Effect::AdminResult { call, result } => *self.handed.borrow_mut() = Some((call, result)),
+            Effect::CloseIdle(runner) => {
                 if let Some(link) = self.link_to(&runner) {
-                    link.release(&runner);
+                    link.close_idle(&runner);
                 }
             }
         }
     }
 
     fn link_to(&self, runner: &str) -> Option<Rc<dyn Link>> {
-        self.links.borrow().iter().find(|link| link.leads_to(runner)).cloned()
+        self.links.borrow().iter().find(|link| link.reaches(runner)).cloned()
     }
 
     /// Wakes the core whenever a timer is due; never ends.
-    pub async fn keep_time(&self) {
+    pub async fn run_timers(&self) {
         loop {
-            let due = self.core.borrow().due();
+            let due = self.core.borrow().next_timer();
             match due {
                 None => self.retimed.notified().await,
                 Some(at) => {
                     let sleep = tokio::time::sleep_until(self.clock.instant(at).into());
                     tokio::select! {
-                        () = sleep => self.feed(Input::Due),
+                        () = sleep => self.feed(Input::TimerDue),
                         () = self.retimed.notified() => {}
                     }
                 }
@@ -227,7 +227,7 @@
     }
 
     /// Begins the end: connections close after their answers.
-    pub fn stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.stopping.set(true);
     }
 
@@ -237,14 +237,14 @@
     }
 
     /// Settings that are in force from now on: how long the program may take to end goes by them.
-    pub fn promise(&self, settings: &sr::Settings) {
+    pub fn update_longest_deadline(&self, settings: &sr::Settings) {
         let longest = settings.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
         self.longest.set(Duration::from_nanos(longest));
     }
 
     /// For how long clients find everything as usual after SIGTERM, and when whatever is unanswered is
     /// answered and the program ends, by the settings in force now.
-    pub fn end(&self) -> (Duration, Duration) {
-        self.limits.end(self.longest.get())
+    pub fn shutdown_times(&self) -> (Duration, Duration) {
+        self.limits.shutdown_times(self.longest.get())
     }
 }
--- a/node/src/runtime/links.rs
+++ b/node/src/runtime/links.rs
@@ -9,31 +9,31 @@
 /// A way to runners: carries attempts to those that it knows.
 pub trait Link {
     /// Whether this link leads to a runner.
-    fn leads_to(&self, runner: &str) -> bool;
+    fn reaches(&self, runner: &str) -> bool;
     /// Begins an attempt; tells the runtime how it ends.
     fn start(&self, attempt: AttemptId, id: Rc<str>, runner: &str, job: Rc<Job>, deadline: sr::Time);
     /// Stops waiting for an attempt and lets its runner know. Attempts that are not its own are ignored.
-    fn give_up(&self, attempt: AttemptId);
+    fn cancel(&self, attempt: AttemptId);
     /// Lets go of an attempt that has ended.
-    fn over(&self, attempt: AttemptId);
+    fn forget(&self, attempt: AttemptId);
     /// Asks a runner for its load.
     fn probe(&self, runner: &str);
     /// Closes idle connections to a runner.
-    fn release(&self, runner: &str);
+    fn close_idle(&self, runner: &str);
 }
 
 /// The way to a load digest.
-pub trait Digests {
+pub trait DigestSource {
     /// Asks for the whole anew.
-    fn ask_whole(&self);
+    fn fetch_full(&self);
 }
 
 /// The way to discovery.
-pub trait Roster {
+pub trait RunnerListSource {
     /// Asks this address for changes from now on.
     fn subscribe(&self, at: SocketAddr);
     /// Asks this address for the whole list once.
     fn fetch(&self, at: SocketAddr);
     /// Whether discovery has told a list since the start.
-    fn told(&self) -> bool;
+    fn has_list(&self) -> bool;
 }
--- a/node/src/runtime/observer.rs
+++ b/node/src/runtime/observer.rs
@@ -17,7 +17,7 @@
 
 impl Runtime {
     /// Lets somebody look on from now on; the first one stays.
-    pub fn show_to(&self, observer: Rc<dyn Observer>) {
+    pub fn set_observer(&self, observer: Rc<dyn Observer>) {
         let _ = self.observer.set(observer);
     }
 
--- a/node/src/runtime/telling.rs
+++ b/node/src/runtime/telling.rs
@@ -3,7 +3,7 @@
 
 use super::Runtime;
 use crate::core::{Arrival, AttemptId, Core, Input, Key, Tally};
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::runtime::Job;
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -18,10 +18,10 @@
             let Arrival { id, job, ticket, .. } = arrival;
             log::debug!("request {id} of class {}, ticket {}", job.class, ticket.0);
         }
-        Input::Ended(AttemptId { request, number }, ending) => {
+        Input::AttemptEnded(AttemptId { request, number }, ending) => {
             log::debug!("attempt {request}.{number} ended: {:?}", ending.outcome);
         }
-        Input::Told { id, from, ending } => {
+        Input::Finished { id, from, end: ending } => {
             let said = ending.report.unwrap_or_default();
             let (errors, inflight) = (said.errors_per_s, said.inflight);
             log::debug!(errors:?, inflight:?; "runner {from} ended {id}: {:?}", ending.outcome);
@@ -51,14 +51,14 @@
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, ()> {
         let core = self.core.borrow();
         let tenant = name.and_then(|name| core.tables().tenants.get(name));
-        if core.with_tenants() && tenant.is_none() { Err(()) } else { Ok(tenant) }
+        if core.requires_tenant() && tenant.is_none() { Err(()) } else { Ok(tenant) }
     }
 
     /// Whether clients are asked to come here: not while there is no list yet, since all would be refused, but
     /// for no longer than a while, since others may have none either.
-    pub fn admits(&self) -> bool {
-        let told = self.roster.borrow().as_ref().is_some_and(|roster| roster.told());
-        told || self.clock.age() >= self.limits.admit
+    pub fn accepts_clients(&self) -> bool {
+        let told = self.roster.borrow().as_ref().is_some_and(|roster| roster.has_list());
+        told || self.clock.age() >= self.limits.admit_without_list_after
     }
 
     /// Whether an attempt may go out now.
@@ -84,20 +84,20 @@
         let digest = Sha256::new().chain_update(&job.target).chain_update([0]).chain_update(&job.body);
         let digest: [u8; 32] = digest.finalize().into();
         let print = keys::Fingerprint(std::array::from_fn(|n| digest[n]));
-        Some(Key { text: text.into(), print })
+        Some(Key { text: text.into(), fingerprint: print })
     }
 
     /// Brings the figures on runners up to date: what the module avoids changes with time alone too.
-    pub fn count_runners(&self) {
-        let (listed, avoided) = self.core.borrow().census();
-        Figures::set(&self.figures.cluster_size, listed);
-        Figures::set(&self.figures.cluster_unhealthy, avoided);
+    pub fn update_runner_metrics(&self) {
+        let (listed, avoided) = self.core.borrow().runner_counts();
+        Metrics::set(&self.metrics.cluster_size, listed);
+        Metrics::set(&self.metrics.cluster_unhealthy, avoided);
         self.counted.set(Instant::now());
     }
 
     /// The runners taken out by hand, by name.
-    pub fn banned(&self) -> std::collections::BTreeSet<String> {
-        self.core.borrow().banned().map(str::to_owned).collect()
+    pub fn disabled_runners(&self) -> std::collections::BTreeSet<String> {
+        self.core.borrow().disabled_runners().map(str::to_owned).collect()
     }
 
     /// What has been counted so far.
--- a/node/src/runtime/waiting.rs
+++ b/node/src/runtime/waiting.rs
@@ -3,31 +3,31 @@
 
 use super::{Runtime, Ticket};
 use crate::core::{Answer, Input};
-use crate::figures::ClassFigures;
+use crate::metrics::ClassMetrics;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
 /// A client that waits for its answer; once dropped without it, the client has gone away.
-pub struct Here {
+pub struct ClientGuard {
     runtime: Rc<Runtime>,
     ticket: Ticket,
 }
 
-impl Here {
-    pub fn new(runtime: &Rc<Runtime>, ticket: Ticket) -> Here {
-        Here { runtime: runtime.clone(), ticket }
+impl ClientGuard {
+    pub fn new(runtime: &Rc<Runtime>, ticket: Ticket) -> ClientGuard {
+        ClientGuard { runtime: runtime.clone(), ticket }
     }
 }
 
-impl Drop for Here {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         self.runtime.client_gone(self.ticket);
     }
 }
 
 /// Who waits for a ticket's answer, and the counters of its class.
-pub(super) type Waiting = (oneshot::Sender<Answer>, Arc<ClassFigures>);
+pub(super) type Waiting = (oneshot::Sender<Answer>, Arc<ClassMetrics>);
 
 impl Runtime {
     /// A ticket for a new request of a class, and where its answer will arrive.
@@ -40,17 +40,17 @@
         (ticket, receive)
     }
 
-    fn class_figures(&self, class: u32) -> Arc<ClassFigures> {
+    fn class_figures(&self, class: u32) -> Arc<ClassMetrics> {
         let mut classes = self.classes.borrow_mut();
         while classes.len() <= class as usize {
             let name = self.with_tables(|tables| tables.classes.name(classes.len() as u32).to_owned());
-            classes.push(self.figures.class(&name));
+            classes.push(self.metrics.class(&name));
         }
         classes[class as usize].clone()
     }
 
     /// Shows the figures of every class from now on, those without a job yet too.
-    pub fn show_classes(&self) {
+    pub fn register_classes(&self) {
         let all = self.with_tables(|tables| tables.classes.all().len());
         if let Some(last) = all.checked_sub(1) {
             self.class_figures(last as u32);
--- a/node/tests/digest/main.rs
+++ b/node/tests/digest/main.rs
@@ -5,7 +5,7 @@
 
 use sablerun as sr;
 use sablerun_digest::{Load, Publisher};
-use sablerun_node::core::{Ending, Input};
+use sablerun_node::core::{AttemptEnd, Input};
 use world::{EVERY, RUNNERS, SLOTS, World, fields, follow, name, publisher};
 
 #[test]
@@ -60,7 +60,7 @@
         // So many show how long a request takes.
         (0..120).for_each(|number| world.arrive(number));
         for attempt in std::mem::take(&mut world.attempts) {
-            world.step(Input::Ended(attempt, Ending::bare(sr::Outcome::Ok)));
+            world.step(Input::AttemptEnded(attempt, AttemptEnd::without_report(sr::Outcome::Ok)));
         }
         let mut publisher = publisher(1, free);
         world.frames([publisher.full_frame(), publisher.next_frame(1000)]);
--- a/node/tests/digest/world.rs
+++ b/node/tests/digest/world.rs
@@ -3,8 +3,8 @@
 
 use sablerun as sr;
 use sablerun_digest::{Frame, Load, Publisher};
-use sablerun_node::core::{Arrival, AttemptId, Core, Effect, Input, Listed, Source, Ticket};
-use sablerun_settings::{Field, Names, Tables};
+use sablerun_node::core::{Arrival, AttemptId, Core, Effect, Input, ListedRunner, Source, Ticket};
+use sablerun_settings::{Field, NameTable, Tables};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -58,11 +58,11 @@
             ..sr::Settings::default()
         };
         let tables = Tables {
-            workers: Names::default(),
-            zones: Names::default(),
-            kinds: Names::default(),
-            classes: Names::of([&"safe".to_owned()]),
-            tenants: Names::default(),
+            workers: NameTable::default(),
+            zones: NameTable::default(),
+            kinds: NameTable::default(),
+            classes: NameTable::of([&"safe".to_owned()]),
+            tenants: NameTable::default(),
             fields: vec![("outstanding".to_owned(), Field::Inflight), ("x0".to_owned(), Field::FreeSlots)],
         };
         let roster = SocketAddr::from(([127, 0, 0, 1], 8500));
@@ -72,7 +72,7 @@
         if digest {
             world.core.follow_digest(EVERY, SILENT);
         }
-        let listed = (0..RUNNERS).map(|n| Listed {
+        let listed = (0..RUNNERS).map(|n| ListedRunner {
             name: name(n),
             zone: "a".to_owned(),
             kind: "k".to_owned(),
@@ -89,7 +89,7 @@
         for effect in self.core.step(self.now, input) {
             match effect {
                 Effect::Probe(_) => self.probes += 1,
-                Effect::AskDigest => self.asked += 1,
+                Effect::FetchDigest => self.asked += 1,
                 Effect::Start { runner, attempt, .. } => {
                     *self.started.entry(runner).or_default() += 1;
                     self.attempts.push(attempt);
@@ -102,9 +102,9 @@
     /// Time passes, with each timer in its moment; the probes that go out in it.
     pub fn pass(&mut self, seconds: f64) -> usize {
         let (end, before) = (self.now + sr::Span::from_secs(seconds), self.probes);
-        while let Some(due) = self.core.due().filter(|due| *due <= end) {
+        while let Some(due) = self.core.next_timer().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            self.step(Input::Due);
+            self.step(Input::TimerDue);
         }
         self.now = end;
         self.probes - before
--- a/node/tests/digest_files.rs
+++ b/node/tests/digest_files.rs
@@ -2,17 +2,17 @@
 
 use sablerun_node::operator::Operator;
 use sablerun_node::publisher::Config;
-use sablerun_settings::{Names, Tables};
+use sablerun_settings::{NameTable, Tables};
 
 const PUBLISHER: &str = "listen = \"127.0.0.1:7500\"\ndiscovery = \"127.0.0.1:8500\"\n";
 
 fn tables() -> Tables {
     Tables {
-        workers: Names::default(),
-        zones: Names::default(),
-        kinds: Names::default(),
-        classes: Names::default(),
-        tenants: Names::default(),
+        workers: NameTable::default(),
+        zones: NameTable::default(),
+        kinds: NameTable::default(),
+        classes: NameTable::default(),
+        tenants: NameTable::default(),
         fields: Vec::new(),
     }
 }
--- a/node/tests/faktory_model.rs
+++ b/node/tests/faktory_model.rs
@@ -11,7 +11,7 @@
 use sablerun_node::limits::Limits;
 use sablerun_node::net::faktory::Faktory;
 use sablerun_node::runtime::{Clock, Runtime};
-use sablerun_settings::{Names, Tables};
+use sablerun_settings::{NameTable, Tables};
 use std::rc::Rc;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 
@@ -81,21 +81,21 @@
     };
     let max_hold_off = sr::Span::from_secs(1.0);
     let settings = sr::Settings { classes: vec![class], max_hold_off, ..sr::Settings::default() };
-    let (names, classes) = (Names::default, Names::of([&"c".to_owned()]));
+    let (names, classes) = (NameTable::default, NameTable::of([&"c".to_owned()]));
     let (workers, zones, kinds, tenants) = (names(), names(), names(), names());
     let tables = Tables { workers, zones, kinds, classes, tenants, fields: Vec::new() };
     let env = env::test_env();
     let limits = Limits::new(1024, 192, &env, true);
     let clock = Clock::new();
     let core =
-        Core::new(settings, tables, ([127, 0, 0, 1], 8500).into(), 1, clock.now(), limits.open).unwrap();
+        Core::new(settings, tables, ([127, 0, 0, 1], 8500).into(), 1, clock.now(), limits.max_open).unwrap();
     let runtime = Runtime::new(core, clock, limits);
     let file = "listen = \"127.0.0.1:0\"\nplaintext = true\nfetch_wait_ms = 1\n[[route]]\nclass = \"c\"\n";
     let gateway = toml::from_str(file).unwrap();
     let front = Faktory::new(&runtime, gateway).unwrap();
     runtime.add_link(front.clone());
     let timer = runtime.clone();
-    actix_rt::spawn(async move { timer.keep_time().await });
+    actix_rt::spawn(async move { timer.run_timers().await });
     front
 }
 
--- a/node/tests/files.rs
+++ b/node/tests/files.rs
@@ -5,9 +5,9 @@
 mod env;
 
 use env::test_env;
-use sablerun_node::bans::{read, write};
-use sablerun_node::figures::{Counted, Figures};
+use sablerun_node::disabled_file::{read, write};
 use sablerun_node::limits::Limits;
+use sablerun_node::metrics::{AnswerKind, Metrics};
 use sablerun_node::operator::Operator;
 use std::path::Path;
 use std::time::Duration;
@@ -48,13 +48,13 @@
 
 #[test]
 fn the_page_names_each_class_and_figure_once() {
-    let figures = Figures::default();
-    figures.class("bin-check").count(Counted::Answered);
-    figures.class("bin-check").count(Counted::Errored);
-    figures.class("pick-route").count(Counted::Deferred);
-    Figures::add(&figures.sends);
-    Figures::set(&figures.current, 14);
-    let page = figures.page();
+    let figures = Metrics::default();
+    figures.class("bin-check").count(AnswerKind::Answered);
+    figures.class("bin-check").count(AnswerKind::Errored);
+    figures.class("pick-route").count(AnswerKind::Deferred);
+    Metrics::add(&figures.sends);
+    Metrics::set(&figures.current, 14);
+    let page = figures.render();
     for line in [
         "transactions.bin-check.answered=1",
         "transactions.bin-check.deferred=0",
@@ -74,11 +74,17 @@
 fn the_parts_fit_into_the_descriptors_and_idle_connections_are_dropped_in_time() {
     for sockets in [1024, 4096] {
         let limits = Limits::new(sockets, 192, &test_env(), true);
-        assert!(limits.clients + limits.callers + limits.runners + 40 <= sockets);
-        assert!(limits.idle <= Duration::from_secs(8));
-        assert!(limits.open * limits.body <= 192 * 1024 * 1024 / 2);
-        assert_eq!(Limits::new(sockets, 192, &test_env(), false).callers, 0);
+        assert!(
+            limits.max_client_connections
+                + limits.max_faktory_connections
+                + limits.max_runner_connections
+                + 40
+                <= sockets
+        );
+        assert!(limits.idle_timeout <= Duration::from_secs(8));
+        assert!(limits.max_open * limits.max_body_bytes <= 192 * 1024 * 1024 / 2);
+        assert_eq!(Limits::new(sockets, 192, &test_env(), false).max_faktory_connections, 0);
         let told = sablerun::Settings::default().told_within;
-        assert!(limits.watch_silence + Duration::from_nanos(told.0) <= Duration::from_secs(6));
+        assert!(limits.watch_silence_timeout + Duration::from_nanos(told.0) <= Duration::from_secs(6));
     }
 }
--- a/node/tests/model/main.rs
+++ b/node/tests/model/main.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sablerun as sr;
-use sablerun_node::core::{Ending, Input, Source};
+use sablerun_node::core::{AttemptEnd, Input, Source};
 use steps::{Step, step};
 use world::{Client, WINDOW, World, ZONES, listed, name};
 
@@ -37,7 +37,7 @@
         world.pass(world.now + sr::Span::from_secs(10.0));
         assert!(world.asked.iter().all(|asked| asked.client != Client::Waits));
         assert!(world.tried.iter().all(|tried| tried.over.is_some()));
-        assert_eq!((world.core.open(), world.core.kept()), (0, (0, 0)));
+        assert_eq!((world.core.open(), world.core.retained()), (0, (0, 0)));
         assert_eq!(world.core.keys().unwrap().in_progress(), 0, "a key under way with no request");
     }
 }
@@ -51,7 +51,7 @@
     world.standing = [sr::Standing::Gone; 4];
     world.standing[1] = sr::Standing::Ready;
     let caller = vec![listed(1, sr::Standing::Ready)];
-    world.input(Input::List(Source::Callers, sr::ListKind::Delta, caller), None);
+    world.input(Input::List(Source::SelfRegistered, sr::ListKind::Delta, caller), None);
     world.input(Input::List(Source::Discovery, sr::ListKind::Full, Vec::new()), None);
     world.take(Step::Arrive { class: 0, patience_ms: 1000, key: None, retry: false });
     assert_eq!(world.tried.len(), 1);
@@ -71,8 +71,8 @@
     world.take(Step::Pass { ms: 1000 });
     assert_eq!(world.asked[0].client, Client::Answered, "by its own deadline");
     assert_eq!(world.tried[0].over, None, "given up though somebody waits");
-    let ending = Ending { outcome: sr::Outcome::Ok, result: "made of r0".into(), report: None };
-    world.input(Input::Told { id, from, ending }, Some((0, sr::Outcome::Ok)));
+    let ending = AttemptEnd { outcome: sr::Outcome::Ok, result: "made of r0".into(), report: None };
+    world.input(Input::Finished { id, from, end: ending }, Some((0, sr::Outcome::Ok)));
     assert_eq!(world.asked[1].client, Client::Answered);
     assert_eq!(world.core.tally().served, 1);
 }
--- a/node/tests/model/rules.rs
+++ b/node/tests/model/rules.rs
@@ -42,8 +42,8 @@
                     let (at, over, word) = (self.now, None, None);
                     self.tried.push(Tried { id: attempt, ticket: job, runner, at, over, word });
                 }
-                Effect::GiveUp(attempt) => self.over(attempt, true),
-                Effect::Over(attempt) => {
+                Effect::Cancel(attempt) => self.over(attempt, true),
+                Effect::Forget(attempt) => {
                     let (ended, outcome) = ends.expect("an attempt ended by itself");
                     assert_eq!(self.tried[ended].id, attempt);
                     self.over(attempt, !outcome.never_ran());
@@ -52,8 +52,8 @@
                     assert_eq!(at, self.roster, "the list is asked for elsewhere");
                     self.asked_for_list += 1;
                 }
-                Effect::Probe(_) | Effect::Release(_) | Effect::Handed { .. } => {}
-                Effect::AskDigest => panic!("no digest is followed"),
+                Effect::Probe(_) | Effect::CloseIdle(_) | Effect::AdminResult { .. } => {}
+                Effect::FetchDigest => panic!("no digest is followed"),
             }
         }
     }
--- a/node/tests/model/take.rs
+++ b/node/tests/model/take.rs
@@ -5,13 +5,13 @@
 use crate::world::{Asked, Client, Tried, World, listed, name, roster};
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{Arrival, Ending, Input, Key, Source, Ticket};
+use sablerun_node::core::{Arrival, AttemptEnd, Input, Key, Source, Ticket};
 
 impl World {
     pub fn pass(&mut self, until: sr::Time) {
-        while let Some(due) = self.core.due().filter(|due| *due <= until) {
+        while let Some(due) = self.core.next_timer().filter(|due| *due <= until) {
             self.now = self.now.max(due);
-            self.input(Input::Due, None);
+            self.input(Input::TimerDue, None);
         }
         self.now = until;
         let overdue = |asked: &Asked| asked.client == Client::Waits && asked.deadline < until;
@@ -44,7 +44,7 @@
                     retry,
                     key: key.filter(|_| class > 0).map(|key| Key {
                         text: format!("k{key}").into(),
-                        print: keys::Fingerprint([key; 16]),
+                        fingerprint: keys::Fingerprint([key; 16]),
                     }),
                     job: number,
                 };
@@ -73,10 +73,10 @@
                 }
                 let ends = self.tried[number].over.is_none().then_some((number, outcome));
                 let result = format!("made of r{ticket}").into();
-                let ending = Ending { outcome, result, report: None };
+                let ending = AttemptEnd { outcome, result, report: None };
                 let input = match told {
-                    true => Input::Told { id: format!("r{ticket}"), from: name(runner), ending },
-                    false => Input::Ended(self.tried[number].id, ending),
+                    true => Input::Finished { id: format!("r{ticket}"), from: name(runner), end: ending },
+                    false => Input::AttemptEnded(self.tried[number].id, ending),
                 };
                 self.input(input, ends);
                 if told && ends.is_some() {
@@ -89,7 +89,10 @@
                 let (id, from) = (format!("r{}", tried.ticket), name(tried.runner));
                 let result = format!("made of r{}", tried.ticket).into();
                 // It is about an attempt that is over: it ends none, though one there may be given up for it.
-                self.input(Input::Told { id, from, ending: Ending { outcome, result, report: None } }, None);
+                self.input(
+                    Input::Finished { id, from, end: AttemptEnd { outcome, result, report: None } },
+                    None,
+                );
             }
             Step::Unusable(of) if !self.tried.is_empty() => {
                 let number = of.index(self.tried.len());
@@ -106,9 +109,9 @@
                 let ticket = of.index(self.asked.len());
                 let holds = |t: &Tried| (t.ticket, t.runner, t.over) == (ticket, runner, None);
                 if !self.tried.iter().any(holds) {
-                    let ending = Ending::bare(sr::Outcome::Ok);
+                    let ending = AttemptEnd::without_report(sr::Outcome::Ok);
                     let (id, from) = (format!("r{ticket}"), name(runner));
-                    self.input(Input::Told { id, from, ending }, None);
+                    self.input(Input::Finished { id, from, end: ending }, None);
                 }
             }
             Step::List { runner, standing } => {
@@ -120,7 +123,7 @@
             Step::RosterAt(host) => {
                 let (moved, before) = (self.roster != roster(host), self.asked_for_list);
                 self.roster = roster(host);
-                self.input(Input::RosterAt(self.roster), None);
+                self.input(Input::DiscoveryMoved(self.roster), None);
                 // A timer that is due may ask too; but a move is never without a call at once.
                 assert!(!moved || self.asked_for_list > before, "a move that asks nobody");
             }
--- a/node/tests/model/world.rs
+++ b/node/tests/model/world.rs
@@ -3,8 +3,8 @@
 
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{AttemptId, Core, Input, Listed, Source};
-use sablerun_settings::{Names, Tables};
+use sablerun_node::core::{AttemptId, Core, Input, ListedRunner, Source};
+use sablerun_settings::{NameTable, Tables};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -61,9 +61,9 @@
     format!("s-{runner}")
 }
 
-pub fn listed(runner: usize, standing: sr::Standing) -> Listed {
+pub fn listed(runner: usize, standing: sr::Standing) -> ListedRunner {
     let (zone, kind) = (ZONES[runner].to_owned(), "k".to_owned());
-    Listed { name: name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
+    ListedRunner { name: name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
 }
 
 pub fn effects() -> [sr::Effect; 3] {
@@ -91,7 +91,7 @@
             max_hold_off: sr::Span::from_secs(2.0),
             ..sr::Settings::default()
         };
-        let names = Names::default;
+        let names = NameTable::default;
         let (workers, zones, kinds, classes, tenants) = (names(), names(), names(), names(), names());
         let tables = Tables { workers, zones, kinds, classes, tenants, fields: Vec::new() };
         let now = sr::Time(1_000_000_000_000);
@@ -104,7 +104,7 @@
             max_entries_per_member: 1000,
             hold_off: sr::Span(1),
         };
-        core.keep_keys(keys::Store::new(
+        core.set_key_store(keys::Store::new(
             bounds,
             vec![keys::Retention { window: WINDOW, uncertain_ttl: KEEP }; 3],
         ));
--- a/node/tests/retuning.rs
+++ b/node/tests/retuning.rs
@@ -2,8 +2,10 @@
 
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{Arrival, AttemptId, Core, Effect, Ending, Input, Listed, Retune, Source, Ticket};
-use sablerun_settings::{Names, Tables};
+use sablerun_node::core::{
+    Arrival, AttemptEnd, AttemptId, Core, Effect, Input, ListedRunner, Reconfiguration, Source, Ticket,
+};
+use sablerun_settings::{NameTable, Tables};
 use std::net::SocketAddr;
 
 const SECOND: sr::Span = sr::Span(1_000_000_000);
@@ -25,11 +27,11 @@
 fn tables(tenants: &[&str]) -> Tables {
     let tenants: Vec<_> = tenants.iter().map(|name| (*name).to_owned()).collect();
     Tables {
-        workers: Names::default(),
-        zones: Names::default(),
-        kinds: Names::default(),
-        classes: Names::of([&"safe".to_owned(), &"keyed".to_owned()]),
-        tenants: Names::of(&tenants),
+        workers: NameTable::default(),
+        zones: NameTable::default(),
+        kinds: NameTable::default(),
+        classes: NameTable::of([&"safe".to_owned(), &"keyed".to_owned()]),
+        tenants: NameTable::of(&tenants),
         fields: Vec::new(),
     }
 }
@@ -74,7 +76,7 @@
 }
 
 fn list(core: &mut Core<usize>, now: sr::Time, names: &[&str]) -> Vec<usize> {
-    let listed = |name: &&str| Listed {
+    let listed = |name: &&str| ListedRunner {
         name: (*name).to_owned(),
         zone: "a".to_owned(),
         kind: "k".to_owned(),
@@ -105,7 +107,10 @@
         let names: &[&str] = if vanish { &[] } else { &["ravi"] };
         let rules = vec![keys::Retention { window: SECOND, uncertain_ttl: SECOND }; 2];
         let (settings, tables) = (settings(names.len()), tables(names));
-        core.step(START, Input::Retune(Box::new(Retune { settings, tables, rules, until: START })));
+        core.step(
+            START,
+            Input::Reconfigure(Box::new(Reconfiguration { settings, tables, rules, until: START })),
+        );
         let ravi = (!vanish).then_some(1);
         assert!(arrive(&mut core, START, 0, 0, Some(0)).is_empty());
         assert!(arrive(&mut core, START, 1, 0, ravi).is_empty());
@@ -133,8 +138,8 @@
     // The first may have run; the second is decided on within the window, and may begin up to its end.
     for (class, ends) in [(1, true), (0, false)] {
         let mut core = out(class);
-        let ending = Ending::bare(sr::Outcome::Error);
-        let again = core.step(later(0.5), Input::Ended(attempt(0), ending));
+        let ending = AttemptEnd::without_report(sr::Outcome::Error);
+        let again = core.step(later(0.5), Input::AttemptEnded(attempt(0), ending));
         assert_eq!(started(again), [0]);
         assert!(!core.may_begin(later(0.9), attempt(0)), "it is over");
         assert!(core.may_begin(later(0.9), attempt(1)));
--- a/node/tests/wires.rs
+++ b/node/tests/wires.rs
@@ -1,7 +1,7 @@
 //! The small parts of the wires: objects cut out of a stream, identities, calls at the operators' door, the
 //! register of doors and the socket handed down. It owns what each makes of good and bad words.
 
-use sablerun_node::figures::Figures;
+use sablerun_node::metrics::Metrics;
 use sablerun_node::net::admin::{AdminLimits, Command, execute, parse};
 use sablerun_node::net::json_stream::JsonStream;
 use sablerun_node::net::peers::{Forwarded, PeerRegistry};
@@ -79,7 +79,7 @@
     let (asks, _held) = mpsc::unbounded_channel();
     let limits =
         AdminLimits { execute_timeout: std::time::Duration::from_millis(1), ..AdminLimits::default() };
-    let figures = Figures::default();
+    let figures = Metrics::default();
     let said = runtime.block_on(execute(Command::Disable("s-0".into()), &figures, &asks, limits));
     assert_eq!(said, "ERR not carried out within 1 ms: call again\n");
 }
--- a/settings/src/settle.rs
+++ b/settings/src/convert.rs
@@ -2,7 +2,7 @@
 //! names what makes no sense. It must never read a file, mend a value, nor decide what the module should.
 
 use crate::env::{Env, Rules};
-use crate::tables::{Field, Names, Tables};
+use crate::tables::{Field, NameTable, Tables};
 use sablerun as sr;
 
 impl Env {
@@ -11,10 +11,10 @@
     /// # Errors
     ///
     /// Names the setting that makes no sense.
-    pub fn settle(&self) -> Result<(sr::Settings, Tables), String> {
+    pub fn to_settings(&self) -> Result<(sr::Settings, Tables), String> {
         let env = self;
-        let mut zones = Names::of(&env.failure_domains);
-        let kinds = Names::of(&env.kinds);
+        let mut zones = NameTable::of(&env.failure_domains);
+        let kinds = NameTable::of(&env.kinds);
         let classes = env.services.iter().enumerate();
         let ask_within = env.rules.ask_within.map_or(sr::Settings::default().ask_within, sr::Span);
         let sr::Settings { told_within, lost_within, saved_within, failed_calls_renew, report_age, .. } =
@@ -22,7 +22,7 @@
         let settings = sr::Settings {
             dispatchers: env.balancers,
             number: env.me,
-            zone: Some(sr::ZoneId(zones.number(&env.zone))),
+            zone: Some(sr::ZoneId(zones.intern(&env.zone))),
             classes: classes
                 .map(|(i, service)| {
                     let kind = env.extra.class_kind.get(i).copied().unwrap_or(-1);
@@ -103,8 +103,8 @@
             (name.clone(), field)
         });
         let fields = fields.collect();
-        let classes = Names::of(env.services.iter().map(|service| &service.name));
-        let tenants = Names::of(env.projects.iter().map(|project| &project.name));
+        let classes = NameTable::of(env.services.iter().map(|service| &service.name));
+        let tenants = NameTable::of(env.projects.iter().map(|project| &project.name));
         // Numbers are places in these lists: a name twice would shift all that follow.
         for (what, named, listed) in
             [("services", &classes, env.services.len()), ("projects", &tenants, env.projects.len())]
@@ -113,7 +113,7 @@
                 return Err(format!("{what}: a name stands twice"));
             }
         }
-        let tables = Tables { workers: Names::default(), zones, kinds, classes, tenants, fields };
+        let tables = Tables { workers: NameTable::default(), zones, kinds, classes, tenants, fields };
         settings.validate().map_err(|e| match key(e.0) {
             Some(key) => format!("{e}, by the key {key}"),
             None => e.to_string(),
--- a/settings/src/env.rs
+++ b/settings/src/env.rs
@@ -1,5 +1,5 @@
 //! The settings object as the wire gives it. It owns the names and the defaults of its keys. It must never
-//! judge a value: what follows from one stands in [`Env::settle`].
+//! judge a value: what follows from one stands in [`Env::to_settings`].
 
 /// The settings as the wire gives them; keys that are not named here are ignored.
 #[derive(Clone, Debug, serde::Deserialize)]
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -5,11 +5,11 @@
 
 #![allow(missing_docs, reason = "the fields are the settings' own; the operators' pages explain them")]
 
+mod convert;
 mod env;
-mod renew;
-mod settle;
+mod reconcile;
 mod tables;
 
 pub use env::*;
-pub use renew::{Renewed, renew};
-pub use tables::{Field, Names, Tables};
+pub use reconcile::{Reconciled, reconcile};
+pub use tables::{Field, NameTable, Tables};
--- a/settings/src/renew.rs
+++ b/settings/src/reconcile.rs
@@ -2,12 +2,12 @@
 //! numbered stays numbered so, since requests under way and everything learned go by number. It owns
 //! that numbering and must never read a file, nor decide whether or when the new settings hold.
 
-use crate::{Names, Tables};
+use crate::{NameTable, Tables};
 use sablerun as sr;
 
 /// New settings, numbered as those before.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Renewed {
+pub struct Reconciled {
     /// Every class and tenant ever numbered, in place: those the new settings name with their terms, the
     /// others as they were.
     pub settings: sr::Settings,
@@ -19,12 +19,12 @@
 /// terms stay keeps its number; new terms make a new class of the same name, and the name then stands for
 /// that, so that a request keeps the terms it came under. Terms that come back get their old number back:
 /// tables grow with the terms ever seen, not with the reloads.
-pub fn renew(old: &sr::Settings, tables: &mut Tables, new: sr::Settings, names: &Tables) -> Renewed {
+pub fn reconcile(old: &sr::Settings, tables: &mut Tables, new: sr::Settings, names: &Tables) -> Reconciled {
     let mut all = old.classes.clone();
     let mut classes = Vec::with_capacity(new.classes.len());
     for (place, mut class) in new.classes.into_iter().enumerate() {
         class.kind = class.kind.map(|kind| match names.kinds.all().get(kind.0 as usize) {
-            Some(name) => sr::KindId(tables.kinds.number(name)),
+            Some(name) => sr::KindId(tables.kinds.intern(name)),
             // A kind that has no name is no runner's.
             None => sr::KindId(u32::MAX),
         });
@@ -44,22 +44,22 @@
     // A tenant that is not named any more has no share.
     let mut tenants = vec![sr::Tenant { quota_per_s: 0.0 }; old.tenants.len()];
     for (place, tenant) in new.tenants.into_iter().enumerate() {
-        let number = tables.tenants.number(names.tenants.name(place as u32)) as usize;
+        let number = tables.tenants.intern(names.tenants.name(place as u32)) as usize;
         match tenants.get_mut(number) {
             Some(known) => *known = tenant,
             None => tenants.push(tenant),
         }
     }
-    let zone = new.zone.map(|zone| sr::ZoneId(tables.zones.number(names.zones.name(zone.0))));
+    let zone = new.zone.map(|zone| sr::ZoneId(tables.zones.intern(names.zones.name(zone.0))));
     tables.fields.clone_from(&names.fields);
-    Renewed { settings: sr::Settings { classes: all, tenants, zone, ..new }, classes }
+    Reconciled { settings: sr::Settings { classes: all, tenants, zone, ..new }, classes }
 }
 
-impl Names {
+impl NameTable {
     /// A new number for a name, which stands for that number from now on.
     fn anew(&mut self, name: &str) -> u32 {
         self.numbers.remove(name);
-        self.number(name)
+        self.intern(name)
     }
 
     /// Lets a name stand for a number that it had before.
--- a/settings/src/tables.rs
+++ b/settings/src/tables.rs
@@ -6,24 +6,24 @@
 
 /// Names in the order in which they were first met.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     pub(crate) numbers: HashMap<String, u32>,
     names: Vec<String>,
     quoted: Vec<String>,
 }
 
-impl Names {
+impl NameTable {
     /// A table of these names.
-    pub fn of<'a>(names: impl IntoIterator<Item = &'a String>) -> Names {
-        let mut all = Names::default();
+    pub fn of<'a>(names: impl IntoIterator<Item = &'a String>) -> NameTable {
+        let mut all = NameTable::default();
         for name in names {
-            all.number(name);
+            all.intern(name);
         }
         all
     }
 
     /// The number of a name; a new one for a new name.
-    pub fn number(&mut self, name: &str) -> u32 {
+    pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
         }
@@ -84,11 +84,11 @@
 /// The tables that turn names into the module's ids, and the meaning of a report's fields.
 #[derive(Clone, Debug)]
 pub struct Tables {
-    pub workers: Names,
-    pub zones: Names,
-    pub kinds: Names,
-    pub classes: Names,
-    pub tenants: Names,
+    pub workers: NameTable,
+    pub zones: NameTable,
+    pub kinds: NameTable,
+    pub classes: NameTable,
+    pub tenants: NameTable,
     /// The report's fields by name, in the settings' order.
     pub fields: Vec<(String, Field)>,
 }
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -40,7 +40,7 @@
 fn settle(text: &str) -> Result<(Settings, Tables), String> {
     let mut json = serde_json::Deserializer::from_str(text);
     let env: Result<Env, _> = serde_path_to_error::deserialize(&mut json);
-    env.map_err(|e| format!("{}: {}", e.path(), e.inner()))?.settle()
+    env.map_err(|e| format!("{}: {}", e.path(), e.inner()))?.to_settings()
 }
 
 /// A dispatcher with such settings and a worker in the south that has just started.
@@ -52,7 +52,7 @@
 
 impl Played {
     fn new((settings, mut tables): (Settings, Tables)) -> Played {
-        let zone = ZoneId(tables.zones.number("south"));
+        let zone = ZoneId(tables.zones.intern("south"));
         let now = Time(5_000_000_000);
         let balancer = Balancer::new(settings, 7, now).expect("settled settings are sound");
         let mut played = Played { balancer, now, tables };
--- a/settings/tests/renew.rs
+++ b/settings/tests/reconcile.rs
@@ -2,7 +2,7 @@
 //! rule that a number stands for the same terms for as long as the program runs.
 
 use sablerun as sr;
-use sablerun_settings::{Env, renew};
+use sablerun_settings::{Env, reconcile};
 
 fn env(services: &str, projects: &str) -> Env {
     let text = format!(
@@ -25,12 +25,12 @@
     let (pick, bin, wave) = (class("pick", "retryable"), class("bin", "retryable"), class("wave", "dedup"));
     let member = |name: &str, quota: u32| format!(r#"{{"name":"{name}","quotaPerS":{quota}}}"#);
     let first = env(&format!("{pick},{bin}"), &format!("{},{}", member("m", 5), member("n", 6)));
-    let (settings, mut tables) = first.settle().unwrap();
+    let (settings, mut tables) = first.to_settings().unwrap();
     // `pick` goes, `wave` comes, `bin` becomes stricter; `m` goes and `o` comes before `n`.
     let strict = class("bin", "fragile");
     let second = env(&format!("{wave},{strict}"), &format!("{},{}", member("o", 7), member("n", 8)));
-    let (new, names) = second.settle().unwrap();
-    let renewed = renew(&settings, &mut tables, new, &names);
+    let (new, names) = second.to_settings().unwrap();
+    let renewed = reconcile(&settings, &mut tables, new, &names);
     assert_eq!(renewed.classes, [2, 3]);
     let effects: Vec<_> = renewed.settings.classes.iter().map(|class| class.effect).collect();
     let keyed = sr::Effect::Keyed(sr::Group::All);
@@ -40,8 +40,8 @@
     assert_eq!((quotas, tables.tenants.get("n")), (vec![0.0, 8.0, 7.0], Some(1)));
     assert_eq!(renewed.settings.zone, settings.zone);
     // Back to the first: the old numbers again, and nothing grows.
-    let (new, names) = first.settle().unwrap();
-    let renewed = renew(&renewed.settings, &mut tables, new, &names);
+    let (new, names) = first.to_settings().unwrap();
+    let renewed = reconcile(&renewed.settings, &mut tables, new, &names);
     assert_eq!((renewed.classes, renewed.settings.classes.len()), (vec![0, 1], 4));
     assert_eq!((tables.classes.get("bin"), tables.classes.all().len()), (Some(1), 4));
 }
--- a/settings/tests/reports.rs
+++ b/settings/tests/reports.rs
@@ -1,15 +1,15 @@
 //! What a load report's figures become. It owns the spoilt ones; it must never know how a report is written.
 
-use sablerun_settings::{Field, Names, Tables};
+use sablerun_settings::{Field, NameTable, Tables};
 
 fn tables() -> Tables {
     let fields = [("outstanding", Field::Inflight), ("recent_ms", Field::Latency), ("eps", Field::Errors)];
     Tables {
-        workers: Names::default(),
-        zones: Names::default(),
-        kinds: Names::default(),
-        classes: Names::default(),
-        tenants: Names::default(),
+        workers: NameTable::default(),
+        zones: NameTable::default(),
+        kinds: NameTable::default(),
+        classes: NameTable::default(),
+        tenants: NameTable::default(),
         fields: fields.map(|(name, field)| (name.to_owned(), field)).to_vec(),
     }
 }
