--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::experiment::Experiment;
 use sablerun_stand_ins::http;
-use sablerun_stand_ins::program::{free_port, settings_of};
+use sablerun_stand_ins::program::{free_port, settings_for};
 use serde_json::{Value, json};
 use std::fs::File;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 /// The settings of an installation as a dispatcher is given them.
 pub fn settings(experiment: &Experiment, number: usize) -> Value {
     let halls: Vec<_> = experiment.hall.iter().map(|hall| hall.name.as_str()).collect();
-    let mut settings = settings_of(&experiment.class, &halls, halls[number % halls.len()]);
+    let mut settings = settings_for(&experiment.class, &halls, halls[number % halls.len()]);
     settings["balancers"] = json!(experiment.dispatchers);
     settings["me"] = json!(number);
     settings["clientHabits"]["marksRetry"] = json!(experiment.clients.marks);
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Dispatcher, settings};
 use sablerun_stand_ins::discovery::Discovery;
 use sablerun_stand_ins::hall::Halls;
-use sablerun_stand_ins::program::program;
+use sablerun_stand_ins::program::program_path;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -52,7 +52,7 @@
     switched_off: &[String],
     tick: impl Fn(&str, f64),
 ) -> Result<Figures, String> {
-    let command = program()?;
+    let command = program_path()?;
     let total: f64 = experiment.phase.iter().map(|phase| phase.seconds).sum();
     let (mut figures, mut before) = (Figures::default(), 0.0);
     for phase in &experiment.phase {
@@ -98,7 +98,7 @@
             .map_err(|e| format!("halls: {e}"))?;
     let discovery = Discovery::start(halls.hosts.clone()).await.map_err(|e| format!("discovery: {e}"))?;
     for (number, dispatcher) in dispatchers.iter().enumerate() {
-        dispatcher.start(settings(experiment, number), discovery.at[number], operator).await?;
+        dispatcher.start(settings(experiment, number), discovery.addresses[number], operator).await?;
     }
     let mut kills = tokio::task::JoinSet::new();
     for kill in experiment.kill.iter().filter(|_| phase.kills) {
@@ -128,7 +128,7 @@
 }
 
 fn collect(phase: &str, seen: &Seen, halls: &Halls, cpu_s: f64, figures: &mut Figures) {
-    let truth = &halls.truth;
+    let truth = &halls.ground_truth;
     let percentile = |at: f64| seen.latency.value_at_quantile(at / 100.0) as f64 / 1e3;
     let requests = seen.requests.max(1) as f64;
     for (name, value) in [
@@ -145,11 +145,11 @@
         ("served_share", seen.done as f64 / requests),
         ("in_time_share", seen.in_time as f64 / requests),
         ("unlike_results", seen.unlike as f64),
-        ("keys_run", truth.ran() as f64),
-        ("double_runs", truth.doubles() as f64),
-        ("double_runs_in_two_halls", truth.doubles_across() as f64),
+        ("keys_run", truth.executed_keys() as f64),
+        ("double_runs", truth.duplicated_keys() as f64),
+        ("double_runs_in_two_halls", truth.keys_duplicated_across_halls() as f64),
         ("attempts", truth.attempts.load(Relaxed) as f64),
-        ("repeats_dropped_by_halls", truth.dropped.load(Relaxed) as f64),
+        ("repeats_dropped_by_halls", truth.repeats_dropped.load(Relaxed) as f64),
         ("faults", truth.faults.load(Relaxed) as f64),
         ("p50_ms", percentile(50.0)),
         ("p99_ms", percentile(99.0)),
--- a/lab/src/scale/part_discovery.rs
+++ b/lab/src/scale/part_discovery.rs
@@ -5,7 +5,7 @@
 use super::part;
 use super::part_runners::{cut_of, region, views};
 use super::words::{Begin, Command, Counts, Layout, Ready, now_us, view};
-use sablerun_stand_ins::discovery::{Discovery, Plan};
+use sablerun_stand_ins::discovery::{Config, Discovery};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
@@ -59,17 +59,18 @@
         region(&layout, runner.zone)?;
     }
     let of = layout.dispatchers.iter().map(|d| Ok(view(region(&layout, d.zone)?, d.hollow)));
-    let mut dispatchers = of.collect::<Result<Vec<_>, String>>()?;
-    dispatchers.push(views.len() - 1);
+    let mut dispatcher_views = of.collect::<Result<Vec<_>, String>>()?;
+    dispatcher_views.push(views.len() - 1);
     let runners = vec![Listed { health: "active".to_owned(), born_ms: 0 }; layout.runners.len()];
     let seen = |view: usize| {
         let all = runners.iter().enumerate();
         all.map(|(runner, listed)| entry(&layout, runner, dial[runner][view], listed)).collect()
     };
     let hosts = (0..views.len()).map(seen).collect();
-    let plan = Plan { views, dispatchers, chunk: None, indented: false, held: HELD };
-    let discovery = Discovery::serve(hosts, plan, &[]).await.map_err(|e| format!("discovery: {e}"))?;
-    let ready = Ready { discovery: discovery.at.clone(), ..Ready::default() };
+    let plan = Config { views, dispatcher_views, chunk_bytes: None, indented: false, retained_changes: HELD };
+    let discovery =
+        Discovery::start_with_config(hosts, plan, &[]).await.map_err(|e| format!("discovery: {e}"))?;
+    let ready = Ready { discovery: discovery.addresses.clone(), ..Ready::default() };
     Ok((Listing { discovery, layout, dial, runners }, ready))
 }
 
@@ -79,10 +80,10 @@
         Command::List { runners, health, up } => {
             (counts.at_us, counts.seq) = listing.change(&runners, &health, up)?;
         }
-        Command::Link { cut } => listing.discovery.link(cut.map(cut_of)),
+        Command::Link { cut } => listing.discovery.set_partition(cut.map(cut_of)),
         _ => {}
     }
-    counts.values = listing.discovery.tally().values();
+    counts.values = listing.discovery.metrics().values();
     Ok(counts)
 }
 
@@ -110,6 +111,6 @@
             runners.iter().map(one).collect()
         };
         let changed: Vec<Vec<Value>> = (0..views).map(seen).collect();
-        Ok((at_us, self.discovery.tell(&changed)))
+        Ok((at_us, self.discovery.update(&changed)))
     }
 }
--- a/lab/src/scale/part_runners.rs
+++ b/lab/src/scale/part_runners.rs
@@ -3,8 +3,8 @@
 
 use super::part;
 use super::words::{Begin, Command, Counts, Layout, Ready, Start, Way, control_view, now_us, view};
-use sablerun_stand_ins::hollow::{Cut, Dispatcher, Planned, Runners, View, manner::Manner};
-use sablerun_stand_ins::tally::Side;
+use sablerun_stand_ins::hollow::{Dispatcher, Partition, RunnerSpec, Runners, View, profile::Profile};
+use sablerun_stand_ins::metrics::TrafficSource;
 use std::fs::File;
 use std::sync::{Arc, Mutex};
 
@@ -32,10 +32,10 @@
 /// The views by number, as the run numbers them.
 pub(super) fn views(layout: &Layout) -> Vec<View> {
     let regions = layout.zones.iter().map(|zone| zone.region + 1).max().unwrap_or(0);
-    let mut views = vec![View { region: 0, side: Side::Control }; control_view(regions) + 1];
+    let mut views = vec![View { region: 0, source: TrafficSource::Control }; control_view(regions) + 1];
     for region in 0..regions {
         for hollow in [false, true] {
-            views[view(region, hollow)] = View { region, side: Side::of(hollow) };
+            views[view(region, hollow)] = View { region, source: TrafficSource::of_dispatcher(hollow) };
         }
     }
     views
@@ -53,11 +53,11 @@
     let starts = Arc::new(Mutex::new(Record { writer, failed: None }));
     let planned = layout.runners.iter().map(|runner| {
         let region = region(&layout, runner.zone)?;
-        Ok(Planned { name: runner.name.clone(), region, slots: runner.slots })
+        Ok(RunnerSpec { name: runner.name.clone(), region, slots: runner.slots })
     });
     let dispatchers = layout.dispatchers.iter().map(|dispatcher| {
         let view = view(region(&layout, dispatcher.zone)?, dispatcher.hollow);
-        Ok(Dispatcher { listen: dispatcher.listen, view })
+        Ok(Dispatcher { callback_address: dispatcher.listen, view })
     });
     let planned = planned.collect::<Result<Vec<_>, String>>()?;
     let dispatchers = dispatchers.collect::<Result<Vec<_>, String>>()?;
@@ -69,18 +69,18 @@
             record.failed.get_or_insert(e.to_string());
         }
     });
-    let manner = Manner::of(&layout.settings);
+    let manner = Profile::from_settings(&layout.settings);
     let runners = Runners::start(&planned, &views(&layout), &dispatchers, manner, began).await;
     let runners = runners.map_err(|e| format!("runners: {e}"))?;
-    let ready = Ready { dial: runners.dial(), ..Ready::default() };
+    let ready = Ready { dial: runners.addresses(), ..Ready::default() };
     Ok(((runners, starts), ready))
 }
 
 async fn obey((runners, starts): &mut (Runners, Starts), told: Command) -> Result<Counts, String> {
     match told {
-        Command::RunnersDown { runners: which } => runners.down(&which).await.map_err(|e| e.to_string())?,
-        Command::RunnersUp { runners: which } => runners.up(&which).map_err(|e| e.to_string())?,
-        Command::Link { cut } => runners.link(cut.map(cut_of)),
+        Command::RunnersDown { runners: which } => runners.crash(&which).await.map_err(|e| e.to_string())?,
+        Command::RunnersUp { runners: which } => runners.restart(&which).map_err(|e| e.to_string())?,
+        Command::Link { cut } => runners.set_partition(cut.map(cut_of)),
         Command::End => {
             let mut record = starts.lock().expect("no holder panics");
             record.writer.flush().map_err(|e| format!("starts.csv: {e}"))?;
@@ -90,13 +90,13 @@
         }
         _ => {}
     }
-    Ok(Counts { at_us: now_us(), values: runners.tally().values(), ..Counts::default() })
+    Ok(Counts { at_us: now_us(), values: runners.metrics().values(), ..Counts::default() })
 }
 
 /// A cut in the stand-ins' words.
-pub(super) fn cut_of(way: Way) -> Cut {
+pub(super) fn cut_of(way: Way) -> Partition {
     match way {
-        Way::Both => Cut::Both,
-        Way::Back => Cut::Back,
+        Way::Both => Partition::BothDirections,
+        Way::Back => Partition::ToDispatchers,
     }
 }
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -7,7 +7,7 @@
 use super::publisher::{ADDRESS, Publisher};
 use super::words::{Begin, Command, Counts, Layout};
 use crate::fleet::Dispatcher;
-use sablerun_stand_ins::program::program;
+use sablerun_stand_ins::program::program_path;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
         if layout.dispatchers.iter().any(|dispatcher| dispatcher.hollow) {
             parts.push(Arc::new(Part::start("dispatchers", &folder, &begin).await?.0));
         }
-        let command = program()?;
+        let command = program_path()?;
         let real = layout.dispatchers.iter().enumerate().filter(|(_, dispatcher)| !dispatcher.hollow);
         let real = real.map(|(number, dispatcher)| {
             Dispatcher::at_address(&command, &folder, number, dispatcher.listen, LOGGED).map(Arc::new)
--- a/lab/src/scale/publisher.rs
+++ b/lab/src/scale/publisher.rs
@@ -1,7 +1,7 @@
 //! The publisher of a load digest: the program `sablerun digest`, started where the dispatchers' operator's file has a
 //! section `digest`. It owns that process, its files and what its log says of frames; it ends only that.
 
-use sablerun_stand_ins::program::{free_port, program};
+use sablerun_stand_ins::program::{free_port, program_path};
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -56,7 +56,7 @@
         let log = self.folder.join("log");
         let file = File::options().create(true).append(true).open(&log);
         let file = file.map_err(|e| format!("{}: {e}", log.display()))?;
-        let mut command = Command::new(program()?);
+        let mut command = Command::new(program_path()?);
         command.arg("digest").arg("--config").arg(self.folder.join("digest.toml")).env("RUST_LOG", LOGGED);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(file).kill_on_drop(true);
         *self.child.lock().await = Some(command.spawn().map_err(|e| format!("sablerun digest: {e}"))?);
--- a/lab/tests/common/scene.rs
+++ b/lab/tests/common/scene.rs
@@ -3,7 +3,7 @@
 use super::part::Part;
 use sablerun_lab::scale::words::{Begin, Command, Dispatcher, Layout, Runner, Stream, Zone};
 use sablerun_stand_ins::installation::Class;
-use sablerun_stand_ins::program::{free_port, settings_of};
+use sablerun_stand_ins::program::{free_port, settings_for};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -23,7 +23,7 @@
         group: None,
         window_ms: 0,
     };
-    let mut settings = settings_of(&[class("task"), class("urgent")], &["a"], "a");
+    let mut settings = settings_for(&[class("task"), class("urgent")], &["a"], "a");
     let tenant = |n: usize| json!({"name": format!("tenant-{n}"), "quotaPerS": 1e6, "share": 0.5});
     settings["projects"] = json!([tenant(0), tenant(1)]);
     settings["balancers"] = json!(dispatchers);
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -14,7 +14,7 @@
 use sablerun_lab::scale::stream::Arrivals;
 use sablerun_lab::scale::words::{Act, Command, Counts, Layout, Request, Stream};
 use sablerun_stand_ins::http;
-use sablerun_stand_ins::program::program;
+use sablerun_stand_ins::program::program_path;
 use scene::Stage;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,14 +48,14 @@
         let mut real = Real { children: Vec::new(), folder, discovery };
         real.write(layout, &layout.settings);
         for (number, dispatcher) in layout.dispatchers.iter().enumerate() {
-            let child = std::process::Command::new(program().unwrap())
+            let child = std::process::Command::new(program_path().unwrap())
                 .env("NODE_CONFIG", real.folder.join(format!("{number}.json")))
                 .env("RUST_LOG", "info,sablerun_node::net::discovery=debug")
                 .stderr(File::create(real.log(number)).unwrap())
                 .stdin(Stdio::null())
                 .spawn();
             real.children.push(child.unwrap());
-            let up = || http::exchange(dispatcher.listen, "GET /up HTTP/1.1", "");
+            let up = || http::call_blocking(dispatcher.listen, "GET /up HTTP/1.1", "");
             until("a dispatcher is up", || up().is_some_and(|answer| answer.status == 200));
         }
         real
--- a/lab/tests/parts.rs
+++ b/lab/tests/parts.rs
@@ -33,7 +33,7 @@
 }
 
 fn call(at: SocketAddr, head: &str, body: &str) -> Message {
-    http::exchange(at, head, body).expect("an answer")
+    http::call_blocking(at, head, body).expect("an answer")
 }
 
 #[test]
--- a/node/benches/operate.rs
+++ b/node/benches/operate.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use sablerun_stand_ins::http::read_message;
-use sablerun_stand_ins::scripted::{Discovery, Program, Runner, api, host, new_id, settings};
+use sablerun_stand_ins::scripted::{Discovery, Program, Runner, api_request, host, new_id, settings};
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -49,7 +49,7 @@
 
 /// A process on the clients' socket, with a door, in place of another.
 fn start(config: &Value, socket: &TcpListener, replaces: Option<&Program>) -> Program {
-    let mut command = Program::command_on(config, socket, replaces);
+    let mut command = Program::command_on_socket(config, socket, replaces);
     // The usual log: a line for each attempt would be the load.
     command.env("RUST_LOG", "info,sablerun::net::discovery=debug");
     Program::spawn(command, false)
@@ -58,7 +58,7 @@
 fn client(shared: &Shared, at: SocketAddr) {
     let mut kept: Option<BufReader<TcpStream>> = None;
     while !shared.stop.load(Relaxed) {
-        let request = api("short-pick", &new_id(), "5000m", "");
+        let request = api_request("short-pick", &new_id(), "5000m", "");
         let request = format!("{request}\r\nHost: t\r\nContent-Length: 3\r\n\r\njob");
         let status = loop {
             let used = kept.is_some();
@@ -123,18 +123,19 @@
 
 fn main() {
     let runners: Vec<_> = (0..4).map(|n| Runner::start(&format!("s-{n}"))).collect();
-    let hosts = runners.iter().enumerate().map(|(n, r)| host(&format!("s-{n}"), r.at, "hall-a", "active"));
+    let hosts =
+        runners.iter().enumerate().map(|(n, r)| host(&format!("s-{n}"), r.address, "hall-a", "active"));
     let discovery = Discovery::start(hosts.collect());
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = socket.local_addr().expect("bound above");
-    let mut config = Program::config(discovery.at, settings());
+    let mut config = Program::config(discovery.address, settings());
     (config["listen"], config["admin_addr"]) = (at.to_string().into(), "127.0.0.1:0".into());
     let mut serving = start(&config, &socket, None);
     runners.iter().for_each(|runner| runner.call_back_to(&serving));
     let shared = Arc::new(Shared {
         stop: AtomicBool::new(false),
         ends: Ends::default(),
-        door: Mutex::new(serving.door()),
+        door: Mutex::new(serving.admin_address()),
         answers: Mutex::new(Histogram::new_with_max(60_000_000, 3).expect("sound bounds")),
         wrong: AtomicU64::new(0),
     });
@@ -152,7 +153,7 @@
     for _ in 0..REPLACEMENTS {
         thread::sleep(BETWEEN);
         let next = start(&config, &socket, Some(&serving));
-        *shared.door.lock().expect("no holder panics") = next.door();
+        *shared.door.lock().expect("no holder panics") = next.admin_address();
         // Calls under way at the old door are answered before it goes.
         thread::sleep(Duration::from_millis(25));
         serving.signal("TERM");
--- a/node/tests/attempts.rs
+++ b/node/tests/attempts.rs
@@ -30,7 +30,7 @@
 
 fn tell(program: &Program, id: &str, from: &str, state: &str) {
     let body = json!({"id": id, "from": from, "state": state, "result": "made once"}).to_string();
-    assert_eq!(call(program.at, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
+    assert_eq!(call(program.address, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
 }
 
 /// A connection's end means nothing to a runner whose 202 is on its way: the job is given up by a call too.
@@ -149,7 +149,7 @@
     let (_discovery, _runner, program) = one_raw(|_| {});
     for (before, class) in ["pick-route", "wave-release"].into_iter().enumerate() {
         let id = new_id();
-        assert_eq!(call(program.at, &api(class, &id, "0m", ""), "x").status(), 503, "{class}");
+        assert_eq!(call(program.address, &api_request(class, &id, "0m", ""), "x").status(), 503, "{class}");
         program.log.wait(": Refused(", before + 1);
         assert_eq!(program.log.count(&format!("of {id}, {class}, at")), 0, "{class}");
     }
@@ -186,7 +186,7 @@
     let _client = open(&program, "wave-release", &id, "6000m", "x");
     let (mut line, _) = runner.next("POST");
     line.answer(TAKEN);
-    discovery.tell(&[host("s-1", late.at, "hall-a", "active")]);
+    discovery.update(&[host("s-1", late.at, "hall-a", "active")]);
     program.log.wait("list Delta", 1);
     tell(&program, &id, "s-0", "lost");
     late.called();
--- a/node/tests/bad_input.rs
+++ b/node/tests/bad_input.rs
@@ -12,8 +12,8 @@
 #[test]
 fn bad_input_gets_its_status() {
     let (_discovery, runner, program) = one_runner();
-    let status = |head: &str, body: &str| call(program.at, head, body).status();
-    let good = api("pick-route", "good", "100m", "");
+    let status = |head: &str, body: &str| call(program.address, head, body).status();
+    let good = api_request("pick-route", "good", "100m", "");
     let without = |name: &str| {
         let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
@@ -41,16 +41,17 @@
     assert_eq!(status("POST /up HTTP/1.1", ""), 405);
     assert_eq!(status("GET /v1/job-events HTTP/1.1", ""), 405);
     assert_eq!(status("GET /elsewhere HTTP/1.1", ""), 404);
-    assert_eq!(runner.seen.count("POST"), 0);
+    assert_eq!(runner.events.count("POST"), 0);
     // A body of just the size passes, and microseconds are a unit too.
-    let answer = call(program.at, &api("pick-route", &new_id(), "5000000u", ""), &"x".repeat(64 * 1024));
+    let answer =
+        call(program.address, &api_request("pick-route", &new_id(), "5000000u", ""), &"x".repeat(64 * 1024));
     assert_eq!(answer.status(), 200);
 }
 
 /// What is written, as it comes back: the status, and that nothing but the stream's end follows. A
 /// reset in place of the end would mean that the answer may get lost on its way.
 fn last_words(stream: &mut TcpStream, what: &str) -> u16 {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap_or_else(|e| panic!("{what}: {e}"));
     assert_eq!(text.matches("HTTP/1.1").count(), 1, "{what}: {text}");
@@ -62,8 +63,10 @@
 #[test]
 fn what_cannot_be_framed_gets_an_error_and_the_end_and_is_not_sent_on() {
     let (_discovery, runner, program) = one_runner();
-    let hidden =
-        format!("{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx", api("bin-check", "hidden", "5000m", ""));
+    let hidden = format!(
+        "{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx",
+        api_request("bin-check", "hidden", "5000m", "")
+    );
     let chunked = format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
     for (framing, body) in [
         (format!("Content-Length: {}\r\nTransfer-Encoding: chunked", chunked.len()), chunked.as_str()),
@@ -79,29 +82,29 @@
         ("Transfer-Encoding: chunked".to_owned(), "fffffffffffffffff\r\nx\r\n0\r\n\r\n"),
         ("No colon".to_owned(), hidden.as_str()),
     ] {
-        let mut stream = TcpStream::connect(program.at).unwrap();
-        let head = api("bin-check", &new_id(), "5000m", "");
+        let mut stream = TcpStream::connect(program.address).unwrap();
+        let head = api_request("bin-check", &new_id(), "5000m", "");
         write!(stream, "{head}\r\nHost: t\r\n{framing}\r\n\r\n{body}").unwrap();
         assert!((400..500).contains(&last_words(&mut stream, &framing)), "{framing}");
     }
     for text in ["no request at all\r\n\r\n", "GET /up HTTP/1.1\r\n\r\n", "\0\0\0\0\r\n\r\n"] {
-        let mut stream = TcpStream::connect(program.at).unwrap();
+        let mut stream = TcpStream::connect(program.address).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
         assert_eq!(last_words(&mut stream, text), 400);
     }
-    assert_eq!(runner.seen.all(), Vec::<String>::new());
+    assert_eq!(runner.events.all(), Vec::<String>::new());
 }
 
 /// What is far too large is turned down at once, and the answer arrives although the client writes on.
 #[test]
 fn what_is_too_large_gets_its_answer_however_much_is_sent() {
     let (_discovery, _runner, program) = one_runner();
-    let mut stream = TcpStream::connect(program.at).unwrap();
+    let mut stream = TcpStream::connect(program.address).unwrap();
     let body = vec![b'x'; 8 * 1024 * 1024];
     write!(
         stream,
         "{}\r\nHost: t\r\nContent-Length: {}\r\n\r\n",
-        api("bin-check", "a", "50m", ""),
+        api_request("bin-check", "a", "50m", ""),
         body.len()
     )
     .unwrap();
@@ -109,7 +112,7 @@
     stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(last_words(&mut stream, "body"), 413);
     // A head far over the size, but within what actix-http would take.
-    let mut stream = TcpStream::connect(program.at).unwrap();
+    let mut stream = TcpStream::connect(program.address).unwrap();
     write!(stream, "GET /up HTTP/1.1\r\nX: {}", "x".repeat(32 * 1024)).unwrap();
     assert_eq!(last_words(&mut stream, "head"), 431);
 }
@@ -120,17 +123,23 @@
 fn what_does_not_come_to_its_end_is_not_waited_for() {
     let (_discovery, runner, program) = one_runner();
     let served = || {
-        let mut stream = TcpStream::connect(program.at).unwrap();
+        let mut stream = TcpStream::connect(program.address).unwrap();
         let id = new_id();
-        write!(stream, "{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx", api("short-pick", &id, "5000m", ""))
-            .unwrap();
+        write!(
+            stream,
+            "{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx",
+            api_request("short-pick", &id, "5000m", "")
+        )
+        .unwrap();
         assert_eq!(answer(&stream).unwrap().status(), 200);
         stream
     };
     let rests = served();
-    let half =
-        format!("{}\r\nHost: t\r\nContent-Length: 100\r\n\r\nx", api("bin-check", &new_id(), "5000m", ""));
-    let fresh = || TcpStream::connect(program.at).unwrap();
+    let half = format!(
+        "{}\r\nHost: t\r\nContent-Length: 100\r\n\r\nx",
+        api_request("bin-check", &new_id(), "5000m", "")
+    );
+    let fresh = || TcpStream::connect(program.address).unwrap();
     let mut streams = [
         (fresh(), ""),
         (fresh(), "POST /api"),
@@ -144,7 +153,7 @@
     for (stream, text) in &mut streams {
         assert_eq!(last_words(stream, text), 408, "{text}");
     }
-    assert_eq!(runner.seen.count("POST"), 3);
+    assert_eq!(runner.events.count("POST"), 3);
     write!(&rests, "GET /up HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
     assert_eq!(answer(&rests).unwrap().status(), 200);
 }
@@ -158,15 +167,15 @@
         write!(
             stream,
             "{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx",
-            api("short-pick", &new_id(), "5000m", "")
+            api_request("short-pick", &new_id(), "5000m", "")
         )
         .unwrap();
         answer(stream).unwrap()
     };
-    let mut there = TcpStream::connect(program.at).unwrap();
+    let mut there = TcpStream::connect(program.address).unwrap();
     assert_eq!(ask(&mut there).status(), 200);
-    let _silent: Vec<_> = (0..40).map(|_| TcpStream::connect(program.at).unwrap()).collect();
-    let late = ask(&mut TcpStream::connect(program.at).unwrap());
+    let _silent: Vec<_> = (0..40).map(|_| TcpStream::connect(program.address).unwrap()).collect();
+    let late = ask(&mut TcpStream::connect(program.address).unwrap());
     let again = ask(&mut there);
     assert_eq!((late.status(), again.status()), (200, 200));
     assert_eq!((late.headers.get("connection"), again.headers.get("connection")), (None, None));
@@ -181,7 +190,7 @@
         *config.pointer_mut(pointer).unwrap() = value;
         config
     };
-    let gateway = |from: &str, to: &str| Some(GATEWAY.replace(from, to));
+    let gateway = |from: &str, to: &str| Some(GATEWAY_CONFIG.replace(from, to));
     for (config, gateway, key) in [
         (with("/listen", json!("nowhere")), None, "listen"),
         (with("/seed", json!("xyz")), None, "seed"),
@@ -213,26 +222,31 @@
 #[test]
 fn at_the_descriptor_limit_it_degrades_and_lives() {
     let (_discovery, _runner, program) = one_runner_on(64);
-    let _idle: Vec<_> = (0..14).map(|_| TcpStream::connect(program.at).unwrap()).collect();
+    let _idle: Vec<_> = (0..14).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     let clients: Vec<_> = (0..40)
         .map(|_| {
-            let at = program.at;
-            thread::spawn(move || call(at, &api("short-pick", &new_id(), "5000m", ""), "early").status())
+            let at = program.address;
+            thread::spawn(move || {
+                call(at, &api_request("short-pick", &new_id(), "5000m", ""), "early").status()
+            })
         })
         .collect();
     // A runner's call-back must find a connection too: the idle ones are closed to make room.
     let heard: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
     assert!(heard.iter().all(|status| [200, 503, 502].contains(status)), "{heard:?}");
-    assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status(), 200);
+    assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
 }
 
 /// A tenant that the settings do not name: an error that names the header, and the next request is served.
 #[test]
 fn an_unknown_tenant_is_turned_down_by_name() {
     let (_discovery, _runner, program) = one_runner_on(64);
-    let head = api("short-pick", &new_id(), "5000m", "").replace("mehran-dist", "nobody-known");
-    let answer = call(program.at, &head, "early");
+    let head = api_request("short-pick", &new_id(), "5000m", "").replace("mehran-dist", "nobody-known");
+    let answer = call(program.address, &head, "early");
     assert_eq!(answer.status(), 400);
     assert!(answer.body.contains("x-tenant-id"), "{}", answer.body);
-    assert_eq!(call(program.at, &api("short-pick", &new_id(), "5000m", ""), "early").status(), 200);
+    assert_eq!(
+        call(program.address, &api_request("short-pick", &new_id(), "5000m", ""), "early").status(),
+        200
+    );
 }
--- a/node/tests/common/halls.rs
+++ b/node/tests/common/halls.rs
@@ -18,7 +18,7 @@
     pub fn start() -> Halls {
         let runners = [Runner::start("s-0"), Runner::start("s-1")];
         let hosts = [("s-0", "hall-a"), ("s-1", "hall-b")];
-        let hosts = hosts.iter().zip(&runners).map(|((name, hall), r)| host(name, r.at, hall, "active"));
+        let hosts = hosts.iter().zip(&runners).map(|((name, hall), r)| host(name, r.address, hall, "active"));
         Halls { discovery: Discovery::start(hosts.collect()), runners }
     }
 
@@ -30,14 +30,14 @@
 
     /// Jobs that the halls were sent, with their words.
     pub fn sent(&self, word: &str) -> usize {
-        self.runners.iter().map(|runner| runner.seen.count(&format!("POST {word}"))).sum()
+        self.runners.iter().map(|runner| runner.events.count(&format!("POST {word}"))).sum()
     }
 
     /// Waits for a job at either runner; which one it was.
     pub fn wait(&self, word: &str) -> usize {
         // One of the two sees it; polled, since either may.
         for _ in 0..4000 {
-            if let Some(n) = self.runners.iter().position(|r| r.seen.count(&format!("POST {word}")) > 0) {
+            if let Some(n) = self.runners.iter().position(|r| r.events.count(&format!("POST {word}")) > 0) {
                 return n;
             }
             std::thread::sleep(std::time::Duration::from_millis(5));
@@ -47,7 +47,7 @@
 }
 
 pub fn head(class: &str, id: &str, key: &str, timeout: &str, more: &str) -> String {
-    api(class, id, timeout, more).replace(&format!("key-{id}"), key)
+    api_request(class, id, timeout, more).replace(&format!("key-{id}"), key)
 }
 
 /// Sends a request and waits until the dispatcher has it.
@@ -70,13 +70,13 @@
 }
 
 pub fn ask(program: &Program, class: &str, key: &str, body: &str, more: &str) -> (u16, String) {
-    let message = call(program.at, &head(class, &new_id(), key, "5000m", more), body);
+    let message = call(program.address, &head(class, &new_id(), key, "5000m", more), body);
     (message.status(), message.body)
 }
 
 pub fn done(program: &Program, id: &str, from: &str) {
     let body = json!({"id": id, "from": from, "state": "done", "result": "made once"}).to_string();
-    assert_eq!(call(program.at, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
+    assert_eq!(call(program.address, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
 }
 
 /// Keys on both fronts.
--- a/node/tests/common/raw.rs
+++ b/node/tests/common/raw.rs
@@ -61,7 +61,7 @@
     /// The next request of this method, by whatever connection; others in between get no answer.
     pub fn next(&self, method: &str) -> (Line, Message) {
         loop {
-            let (line, message) = self.asked.recv_timeout(PATIENCE).expect(method);
+            let (line, message) = self.asked.recv_timeout(EVENT_TIMEOUT).expect(method);
             if message.method == method {
                 return (line, message);
             }
@@ -90,7 +90,7 @@
     /// by itself after a second.
     pub fn called(&self) {
         let calls = format!(":{:04X} 02 ", self.at.port());
-        let end = std::time::Instant::now() + PATIENCE;
+        let end = std::time::Instant::now() + EVENT_TIMEOUT;
         while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&calls) {
             assert!(std::time::Instant::now() < end, "nobody calls");
             thread::yield_now();
@@ -104,7 +104,7 @@
             let (stream, from) = self.listener.accept().unwrap();
             if from.as_socket() != Some(own) {
                 let (mut stream, mut first) = (TcpStream::from(stream), [0; 4096]);
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
                 let read = stream.read(&mut first).unwrap();
                 return String::from_utf8_lossy(&first[..read]).into_owned();
             }
--- a/node/tests/fronts.rs
+++ b/node/tests/fronts.rs
@@ -10,7 +10,7 @@
 
 /// How a client of either front understands its answer.
 fn push(at: SocketAddr, queue: &str, jid: &str, word: &str, custom: Value) -> String {
-    Caller::connect(at, None).say(&format!("PUSH {}", job(queue, jid, word, custom)))
+    FaktoryConnection::connect(at, None).command(&format!("PUSH {}", job(queue, jid, word, custom)))
 }
 
 fn through_faktory(at: SocketAddr, queue: &str, word: &str, timeout_ms: u64) -> &'static str {
@@ -23,7 +23,7 @@
 }
 
 fn through_http(at: SocketAddr, class: &str, word: &str, timeout_ms: u64) -> &'static str {
-    let answer = call(at, &api(class, &new_id(), &format!("{timeout_ms}m"), ""), word);
+    let answer = call(at, &api_request(class, &new_id(), &format!("{timeout_ms}m"), ""), word);
     match answer.status() {
         200 => "served",
         503 => {
@@ -76,19 +76,20 @@
 
 fn platform() -> (Discovery, Vec<Runner>, Program) {
     let runners: Vec<Runner> = (0..3).map(|n| Runner::start(&format!("s-{n}"))).collect();
-    let hosts = runners.iter().enumerate().map(|(n, r)| host(&format!("s-{n}"), r.at, "hall-a", "active"));
+    let hosts =
+        runners.iter().enumerate().map(|(n, r)| host(&format!("s-{n}"), r.address, "hall-a", "active"));
     let discovery = Discovery::start(hosts.collect());
-    let program = Program::start(&discovery, settings(), Some(GATEWAY));
+    let program = Program::start(&discovery, settings(), Some(GATEWAY_CONFIG));
     runners.iter().for_each(|runner| runner.call_back_to(&program));
     (discovery, runners, program)
 }
 
 fn gateway(workers: usize) -> (Discovery, Events, Program) {
     let discovery = Discovery::start(Vec::new());
-    let program = Program::start(&discovery, settings(), Some(GATEWAY));
+    let program = Program::start(&discovery, settings(), Some(GATEWAY_CONFIG));
     let seen = Events::default();
     for n in 0..workers {
-        worker(program.faktory.unwrap(), &format!("w-{n}"), 5, &seen);
+        worker(program.faktory_address.unwrap(), &format!("w-{n}"), 5, &seen);
         program.log.wait(&format!("worker w-{n} of"), 1);
     }
     (discovery, seen, program)
@@ -112,9 +113,9 @@
                 // What hangs gets less time than what must be served.
                 let timeout = if word == "hang" { 400 } else { 5000 };
                 if over_faktory {
-                    through_faktory(program.faktory.unwrap(), queue, word, timeout)
+                    through_faktory(program.faktory_address.unwrap(), queue, word, timeout)
                 } else {
-                    through_http(program.at, class, word, timeout)
+                    through_http(program.address, class, word, timeout)
                 }
             }));
         }
@@ -126,15 +127,15 @@
 #[test]
 fn an_answer_goes_back_through_the_front_that_its_job_came_by() {
     let (_discovery, seen, program) = gateway(1);
-    let answer = call(program.at, &api("short-pick", &new_id(), "5000m", ""), "serve");
+    let answer = call(program.address, &api_request("short-pick", &new_id(), "5000m", ""), "serve");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "by w-0"));
     let got = seen.wait("w-0 got serve", 1);
     assert!(got.contains("\"queue\":\"picks\"") && got.contains("\"key\":\"key-"), "{got}");
     let (_discovery, runners, program) = platform();
     let jid = new_id();
-    assert_eq!(push(program.faktory.unwrap(), "picks", &jid, "serve", json!({})), "+OK");
+    assert_eq!(push(program.faktory_address.unwrap(), "picks", &jid, "serve", json!({})), "+OK");
     let posts: Vec<_> =
-        runners.iter().flat_map(|r| r.seen.all()).filter(|e| e.contains("POST /api")).collect();
+        runners.iter().flat_map(|r| r.events.all()).filter(|e| e.contains("POST /api")).collect();
     assert_eq!(posts.len(), 1, "{posts:?}");
     assert!(posts[0].contains(&jid) && posts[0].ends_with("[\"serve\"]"), "{posts:?}");
 }
@@ -142,25 +143,25 @@
 #[test]
 fn a_fail_after_the_job_was_served_changes_nothing() {
     let (_discovery, _, program) = gateway(0);
-    let at = program.faktory.unwrap();
-    let mut worker = Caller::connect(at, Some("w-late"));
+    let at = program.faktory_address.unwrap();
+    let mut worker = FaktoryConnection::connect(at, Some("w-late"));
     worker.send("FETCH picks");
     let jid = new_id();
     let client = {
         let jid = jid.clone();
         thread::spawn(move || push(at, "picks", &jid, "serve", json!({})))
     };
-    let mut got = worker.fetched();
+    let mut got = worker.read_fetched();
     while got.is_none() {
         got = worker.fetch("picks");
     }
     assert_eq!(got.unwrap()["jid"], json!(jid));
-    assert_eq!(worker.say(&format!("ACK {}", json!({"jid": jid}))), "+OK");
+    assert_eq!(worker.command(&format!("ACK {}", json!({"jid": jid}))), "+OK");
     assert_eq!(client.join().unwrap(), "+OK");
     // Late, repeated and unknown words are heard and passed over, and the worker goes on.
-    assert_eq!(worker.say(&format!("FAIL {}", json!({"jid": jid}))), "+OK");
-    assert_eq!(worker.say(&format!("ACK {}", json!({"jid": jid}))), "+OK");
-    assert_eq!(worker.say(&format!("FAIL {}", json!({"jid": "never-seen"}))), "+OK");
+    assert_eq!(worker.command(&format!("FAIL {}", json!({"jid": jid}))), "+OK");
+    assert_eq!(worker.command(&format!("ACK {}", json!({"jid": jid}))), "+OK");
+    assert_eq!(worker.command(&format!("FAIL {}", json!({"jid": "never-seen"}))), "+OK");
     worker.send("INFO");
-    assert_eq!(worker.fetched().unwrap()["faktory"]["total_processed"], json!(1));
+    assert_eq!(worker.read_fetched().unwrap()["faktory"]["total_processed"], json!(1));
 }
--- a/node/tests/gateway.rs
+++ b/node/tests/gateway.rs
@@ -17,24 +17,24 @@
 fn start(gateway: &str, settings: serde_json::Value) -> (Discovery, Program, SocketAddr) {
     let discovery = Discovery::start(Vec::new());
     let program = Program::start(&discovery, settings, Some(gateway));
-    let at = program.faktory.unwrap();
+    let at = program.faktory_address.unwrap();
     (discovery, program, at)
 }
 
 /// Pushes from a thread of its own; joins to the answer.
 fn push(at: SocketAddr, job: String) -> JoinHandle<String> {
-    thread::spawn(move || Caller::connect(at, None).say(&format!("PUSH {job}")))
+    thread::spawn(move || FaktoryConnection::connect(at, None).command(&format!("PUSH {job}")))
 }
 
 /// Fetches until there is a job.
-fn fetch(caller: &mut Caller<TcpStream>, queues: &str) -> serde_json::Value {
+fn fetch(caller: &mut FaktoryConnection<TcpStream>, queues: &str) -> serde_json::Value {
     (0..100).find_map(|_| caller.fetch(queues)).expect("a job")
 }
 
 #[test]
 fn commands_get_the_replies_of_the_protocol() {
-    let (_discovery, _program, at) = start(GATEWAY, settings());
-    let mut client = Caller::connect(at, None);
+    let (_discovery, _program, at) = start(GATEWAY_CONFIG, settings());
+    let mut client = FaktoryConnection::connect(at, None);
     for (line, start) in [
         ("FLUSH", "-ERR DENIED FLUSH"),
         ("FETCH routes", "-ERR DENIED FETCH"),
@@ -55,66 +55,66 @@
             "-ERR MALFORMED PUSH: custom.timeout_ms",
         ),
     ] {
-        let reply = client.say(line);
+        let reply = client.command(line);
         assert!(reply.starts_with(start), "{line}: {reply}");
     }
     client.send("INFO");
-    assert!(client.fetched().unwrap()["server"]["connections"].is_u64());
+    assert!(client.read_fetched().unwrap()["server"]["connections"].is_u64());
     client.send("END");
-    assert_eq!(client.line(), None);
+    assert_eq!(client.read_line(), None);
     // A worker: no job in time, BEAT under its own wid alone, bad words about jobs.
-    let mut worker = Caller::connect(at, Some("w-1"));
-    assert_eq!(worker.say("FETCH routes"), "$-1");
-    assert_eq!(worker.say(r#"BEAT {"wid":"w-1"}"#), "+OK");
-    assert!(worker.say(r#"BEAT {"wid":"w-2"}"#).starts_with("-ERR MALFORMED BEAT"));
-    assert!(worker.say("ACK nothing").starts_with("-ERR MALFORMED ACK"));
-    assert!(worker.say("FAIL {}").starts_with("-ERR MALFORMED FAIL"));
+    let mut worker = FaktoryConnection::connect(at, Some("w-1"));
+    assert_eq!(worker.command("FETCH routes"), "$-1");
+    assert_eq!(worker.command(r#"BEAT {"wid":"w-1"}"#), "+OK");
+    assert!(worker.command(r#"BEAT {"wid":"w-2"}"#).starts_with("-ERR MALFORMED BEAT"));
+    assert!(worker.command("ACK nothing").starts_with("-ERR MALFORMED ACK"));
+    assert!(worker.command("FAIL {}").starts_with("-ERR MALFORMED FAIL"));
 }
 
 #[test]
 fn what_can_not_be_a_conversation_is_closed() {
-    let (_discovery, _program, at) = start(GATEWAY, settings());
+    let (_discovery, _program, at) = start(GATEWAY_CONFIG, settings());
     let open = || {
-        let mut caller = Caller { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
-        assert_eq!(caller.line().unwrap(), "+HI {\"v\":2}");
+        let mut caller = FaktoryConnection { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
+        assert_eq!(caller.read_line().unwrap(), "+HI {\"v\":2}");
         caller
     };
     for line in ["PUSH {}", "HELLO", "HELLO {\"v\":1}", "HELLO {\"v\":2,\"wid\":7}"] {
         let mut caller = open();
-        assert!(caller.say(line).starts_with("-ERR MALFORMED"), "{line}");
-        assert_eq!(caller.line(), None, "{line}");
+        assert!(caller.command(line).starts_with("-ERR MALFORMED"), "{line}");
+        assert_eq!(caller.read_line(), None, "{line}");
     }
     // A frame that never ends.
-    let mut caller = Caller::connect(at, None);
+    let mut caller = FaktoryConnection::connect(at, None);
     let _ = caller.stream.get_mut().write_all(&vec![b'x'; 200 * 1024]);
-    assert!(caller.line().is_none_or(|line| line.starts_with("-ERR MALFORMED a frame")));
+    assert!(caller.read_line().is_none_or(|line| line.starts_with("-ERR MALFORMED a frame")));
     // One that breaks off in its midst; a connection that rests between two is left alone.
-    let (mut rests, mut halts) = (Caller::connect(at, None), Caller::connect(at, None));
+    let (mut rests, mut halts) = (FaktoryConnection::connect(at, None), FaktoryConnection::connect(at, None));
     halts.stream.get_mut().write_all(b"PUSH {").unwrap();
-    assert!(halts.line().unwrap().starts_with("-ERR MALFORMED a frame is too slow"));
-    assert_eq!(halts.line(), None);
-    assert!(rests.say("INFO").starts_with('$'));
+    assert!(halts.read_line().unwrap().starts_with("-ERR MALFORMED a frame is too slow"));
+    assert_eq!(halts.read_line(), None);
+    assert!(rests.command("INFO").starts_with('$'));
     // And the front goes on.
-    assert_eq!(Caller::connect(at, Some("w-1")).say("FETCH routes"), "$-1");
+    assert_eq!(FaktoryConnection::connect(at, Some("w-1")).command("FETCH routes"), "$-1");
 }
 
 #[test]
 fn a_password_is_asked_for_and_checked() {
     use sha2::{Digest, Sha256};
-    let file = folder().join("password");
+    let file = test_dir().join("password");
     std::fs::write(&file, "open sesame\n").unwrap();
-    let gateway = format!("password_file = {:?}\n{GATEWAY}", file);
+    let gateway = format!("password_file = {:?}\n{GATEWAY_CONFIG}", file);
     let (_discovery, _program, at) = start(&gateway, settings());
     for (password, good) in [("open sesame", true), ("open barley", false)] {
-        let mut caller = Caller { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
-        let hi = caller.line().unwrap();
+        let mut caller = FaktoryConnection { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
+        let hi = caller.read_line().unwrap();
         let hi: serde_json::Value = serde_json::from_str(hi.strip_prefix("+HI ").unwrap()).unwrap();
         let mut hash = format!("{password}{}", hi["s"].as_str().unwrap()).into_bytes();
         for _ in 0..hi["i"].as_u64().unwrap() {
             hash = Sha256::digest(&hash).to_vec();
         }
         let hash: String = hash.iter().map(|b| format!("{b:02x}")).collect();
-        let reply = caller.say(&format!("HELLO {}", json!({"v": 2, "pwdhash": hash})));
+        let reply = caller.command(&format!("HELLO {}", json!({"v": 2, "pwdhash": hash})));
         assert_eq!(reply == "+OK", good, "{reply}");
     }
 }
@@ -122,22 +122,22 @@
 /// A worker that goes quiet drains: what waited for it goes elsewhere at once, what it runs it ends.
 #[test]
 fn nothing_new_goes_to_a_worker_once_it_is_quiet() {
-    let (_discovery, program, at) = start(GATEWAY, settings());
-    let mut one = Caller::connect(at, Some("w-1"));
-    assert_eq!(one.say("FETCH waves"), "$-1");
+    let (_discovery, program, at) = start(GATEWAY_CONFIG, settings());
+    let mut one = FaktoryConnection::connect(at, Some("w-1"));
+    assert_eq!(one.command("FETCH waves"), "$-1");
     let clients: Vec<_> = (0..4).map(|_| push(at, job("waves", &new_id(), "serve", json!({})))).collect();
     let running = fetch(&mut one, "waves");
     let seen = Events::default();
     worker(at, "w-2", 1, &seen);
     program.log.wait("worker w-2 of", 1);
-    assert_eq!(one.say(r#"BEAT {"wid":"w-1","current_state":"quiet"}"#), "+OK");
+    assert_eq!(one.command(r#"BEAT {"wid":"w-1","current_state":"quiet"}"#), "+OK");
     program.log.wait("w-1 is quiet", 1);
     // The rest reaches the other one; the quiet one fetches in vain, and its running job counts.
     for done in 1..=3 {
-        assert_eq!(one.say("FETCH waves"), "$-1");
+        assert_eq!(one.command("FETCH waves"), "$-1");
         seen.wait("w-2 told serve", done);
     }
-    assert_eq!(one.say(&format!("ACK {}", json!({"jid": running["jid"]}))), "+OK");
+    assert_eq!(one.command(&format!("ACK {}", json!({"jid": running["jid"]}))), "+OK");
     assert!(clients.into_iter().all(|client| client.join().unwrap() == "+OK"));
 }
 
@@ -150,7 +150,7 @@
     cold["rules"]["fallMultiple"] = json!(2.5);
     cold["rules"]["warmAfter"] = json!(3_600_000_000_000u64);
     for (settings, flooded) in [(cold, false), (settings(), true)] {
-        let (_discovery, program, at) = start(GATEWAY, settings);
+        let (_discovery, program, at) = start(GATEWAY_CONFIG, settings);
         let seen = Events::default();
         worker(at, "w-1", 20, &seen);
         program.log.wait("worker w-1 of", 1);
@@ -166,10 +166,10 @@
 
 #[test]
 fn a_worker_without_beats_is_gone_and_a_deadline_holds_whatever_it_does() {
-    let gateway = format!("beat_limit_s = 0.5\n{GATEWAY}");
+    let gateway = format!("beat_limit_s = 0.5\n{GATEWAY_CONFIG}");
     let (_discovery, program, at) = start(&gateway, settings());
-    let mut silent = Caller::connect(at, Some("w-1"));
-    assert_eq!(silent.say("FETCH waves"), "$-1");
+    let mut silent = FaktoryConnection::connect(at, Some("w-1"));
+    assert_eq!(silent.command("FETCH waves"), "$-1");
     let lost = push(at, job("waves", &new_id(), "serve", json!({"timeout_ms": 6000})));
     let job_held = fetch(&mut silent, "waves");
     program.log.wait("w-1 has missed its beats", 1);
@@ -179,7 +179,7 @@
     // old one does not touch.
     for line in [&format!("ACK {}", json!({"jid": job_held["jid"]})), r#"BEAT {"wid":"w-1"}"#, "FETCH waves"]
     {
-        assert!(silent.say(line).starts_with("-ERR DENIED this worker was given up"));
+        assert!(silent.command(line).starts_with("-ERR DENIED this worker was given up"));
     }
     let seen = Events::default();
     worker(at, "w-1", 1, &seen);
@@ -195,10 +195,11 @@
     let mut tight = settings();
     tight["projects"][0]["quotaPerS"] = json!(1.0);
     tight["services"][3]["objective"] = json!(5_000_000_000u64);
-    let (_discovery, program, at) = start(GATEWAY, tight);
+    let (_discovery, program, at) = start(GATEWAY_CONFIG, tight);
     let ids: Vec<String> = (0..3).map(|_| new_id()).collect();
-    let (id, to) = (ids[0].clone(), program.at);
-    let within = thread::spawn(move || call(to, &api("short-pick", &id, "6000m", ""), "serve").status());
+    let (id, to) = (ids[0].clone(), program.address);
+    let within =
+        thread::spawn(move || call(to, &api_request("short-pick", &id, "6000m", ""), "serve").status());
     program.log.wait(&format!("request {}", ids[0]), 1);
     // The same member's second job, by the other front, and another member's first.
     let beyond = push(at, job("picks", &ids[1], "serve", json!({"member": "mehran-dist"})));
@@ -291,7 +292,7 @@
 
 type Tls = rustls::StreamOwned<rustls::ClientConnection, TcpStream>;
 
-fn connect(at: SocketAddr, (cert, key): &(String, String)) -> Caller<Tls> {
+fn connect(at: SocketAddr, (cert, key): &(String, String)) -> FaktoryConnection<Tls> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let chain = CertificateDer::pem_slice_iter(cert.as_bytes()).map(Result::unwrap).collect();
     let config = rustls::ClientConfig::builder_with_provider(provider.clone())
@@ -304,7 +305,7 @@
     let name = ServerName::try_from("gateway.example").unwrap();
     let connection = rustls::ClientConnection::new(Arc::new(config), name).unwrap();
     let stream = rustls::StreamOwned::new(connection, TcpStream::connect(at).unwrap());
-    Caller { stream: BufReader::new(stream) }
+    FaktoryConnection { stream: BufReader::new(stream) }
 }
 
 fn write(folder: &Path, name: &str, text: &str) {
@@ -315,14 +316,14 @@
 fn two_sites_federate_and_strangers_are_refused() {
     let (east, lahore, elsewhere) =
         (Site::new("east.example"), Site::new("lahore.example"), Site::new("else.example"));
-    let folder = folder();
+    let folder = test_dir();
     let own = east.svid("/gateway");
     write(&folder, "svid.pem", &own.0);
     write(&folder, "key.pem", &own.1);
     write(&folder, "east.pem", &east.issuer.pem());
     write(&folder, "lahore.pem", &lahore.issuer.pem());
     let at = folder.display();
-    let gateway = GATEWAY.replace("plaintext = true\nmember = \"ravi-supply\"", "");
+    let gateway = GATEWAY_CONFIG.replace("plaintext = true\nmember = \"ravi-supply\"", "");
     let gateway = format!(
         r#"{gateway}
         [tls]
@@ -350,36 +351,38 @@
     // A worker of one site serves a client of the other.
     let mut worker = connect(at, &lahore.svid("/pick-node/7"));
     worker.hello(Some("w-7"));
-    assert_eq!(worker.say("FETCH picks"), "$-1");
+    assert_eq!(worker.command("FETCH picks"), "$-1");
     let mehran = east.svid("/floor/mehran");
     let client = {
         let mehran = mehran.clone();
         thread::spawn(move || {
             let mut client = connect(at, &mehran);
             client.hello(None);
-            client
-                .say(&format!("PUSH {}", job("picks", &new_id(), "serve", json!({"member": "ravi-supply"}))))
+            client.command(&format!(
+                "PUSH {}",
+                job("picks", &new_id(), "serve", json!({"member": "ravi-supply"}))
+            ))
         })
     };
     let job_held = (0..100).find_map(|_| worker.fetch("picks")).expect("a job");
-    assert_eq!(worker.say(&format!("ACK {}", json!({"jid": job_held["jid"]}))), "+OK");
+    assert_eq!(worker.command(&format!("ACK {}", json!({"jid": job_held["jid"]}))), "+OK");
     assert_eq!(client.join().unwrap(), "+OK");
     // Each identity keeps to its role.
     assert!(
         worker
-            .say(&format!("PUSH {}", job("picks", &new_id(), "serve", json!({}))))
+            .command(&format!("PUSH {}", job("picks", &new_id(), "serve", json!({}))))
             .starts_with("-ERR DENIED")
     );
     let mut client = connect(at, &mehran);
-    assert_eq!(client.line().unwrap(), "+HI {\"v\":2}");
-    assert!(client.say(r#"HELLO {"v":2,"wid":"w-8"}"#).starts_with("-ERR DENIED"));
+    assert_eq!(client.read_line().unwrap(), "+HI {\"v\":2}");
+    assert!(client.command(r#"HELLO {"v":2,"wid":"w-8"}"#).starts_with("-ERR DENIED"));
     let mut thief = connect(at, &lahore.svid("/pick-node/8"));
-    assert_eq!(thief.line().unwrap(), "+HI {\"v\":2}");
-    assert!(thief.say(r#"HELLO {"v":2,"wid":"w-7"}"#).starts_with("-ERR DENIED this wid"));
+    assert_eq!(thief.read_line().unwrap(), "+HI {\"v\":2}");
+    assert!(thief.command(r#"HELLO {"v":2,"wid":"w-7"}"#).starts_with("-ERR DENIED this wid"));
     // Refused, and the log says why: one site's authority signing for the other, a domain without a
     // bundle, one expired, two names, none, and a good one that the file does not name.
     let refused = |svid: (String, String), why: &str, times: usize| {
-        assert_eq!(connect(at, &svid).line(), None, "{why}");
+        assert_eq!(connect(at, &svid).read_line(), None, "{why}");
         program.log.wait(why, times);
     };
     refused(
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 fn text(id: &str, body: &str) -> String {
-    let head = api("short-pick", id, "5000m", "");
+    let head = api_request("short-pick", id, "5000m", "");
     format!("{head}\r\nHost: t\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -25,7 +25,7 @@
     for more in &behind {
         for how in ["fin", "rst", "half"] {
             let id = new_id();
-            let mut stream = TcpStream::connect(program.at).unwrap();
+            let mut stream = TcpStream::connect(program.address).unwrap();
             stream.write_all(text(&id, "hang").as_bytes()).unwrap();
             program.log.wait(&format!("request {id} of class"), 1);
             // Nobody has to take all of it.
@@ -41,7 +41,7 @@
             left += 1;
             program.log.wait("a client has left", left);
             if program.log.count(&format!("took {id}")) > 0 {
-                runner.seen.wait(&format!("DELETE {id}"), 1);
+                runner.events.wait(&format!("DELETE {id}"), 1);
             }
             drop(held);
         }
@@ -54,14 +54,14 @@
     let (_discovery, runner, program) = one_runner();
     for more in ["no request\r\n\r\n", "GET /up HTTP/1.1\r\nHost: t\r\n\r\n", "\r\n"] {
         let id = new_id();
-        let mut stream = TcpStream::connect(program.at).unwrap();
+        let mut stream = TcpStream::connect(program.address).unwrap();
         stream.write_all(text(&id, "hang").as_bytes()).unwrap();
-        runner.seen.wait(&format!("POST hang {id}"), 1);
+        runner.events.wait(&format!("POST hang {id}"), 1);
         stream.write_all(more.repeat(2000).as_bytes()).unwrap();
         // It reads what lies there before it answers others.
-        assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status(), 200);
+        assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
         let body = json!({"id": id, "from": "s-0", "state": "done", "result": "made"}).to_string();
-        assert_eq!(call(program.at, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
+        assert_eq!(call(program.address, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
         let answer = answer(&stream).unwrap_or_else(|| panic!("no answer before {more:?}"));
         assert_eq!((answer.status(), answer.body.as_str()), (200, "made"));
     }
@@ -74,8 +74,8 @@
     for (head, status) in
         [("no request at all\r\n\r\n", "400"), ("POST /api HTTP/1.1\r\nHost: t\r\n\r\n", "400")]
     {
-        let mut stream = TcpStream::connect(program.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let mut stream = TcpStream::connect(program.address).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         // Whether all of it finds a reader or not.
         let _ = stream.write_all((head.to_owned() + &"x".repeat(1 << 20)).as_bytes());
         let _ = stream.shutdown(Shutdown::Write);
@@ -98,7 +98,7 @@
         })
         .collect();
     drop(crowd);
-    let end = std::time::Instant::now() + PATIENCE;
+    let end = std::time::Instant::now() + EVENT_TIMEOUT;
     let noticed = || program.log.count("a client has left");
     let answered = || {
         program
@@ -112,13 +112,13 @@
         assert!(std::time::Instant::now() < end, "{} noticed, {} answered", noticed(), answered());
         std::thread::yield_now();
     }
-    assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status(), 200);
+    assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
     let begun = || program.log.count(", short-pick, at s-0");
-    let (before, sent) = (begun(), runner.seen.count("POST hang"));
-    runner.seen.wait("DELETE", sent);
+    let (before, sent) = (begun(), runner.events.count("POST hang"));
+    runner.events.wait("DELETE", sent);
     // What was on its way by then may be read there later: nothing more is begun.
     assert_eq!(begun(), before);
-    assert!(runner.seen.count("POST hang") <= before);
+    assert!(runner.events.count("POST hang") <= before);
 }
 
 /// Half a head on every connection that there is room for: whoever gives way to others hears so first.
@@ -127,13 +127,13 @@
     let (_discovery, _runner, program) = one_runner_on(64);
     let halves: Vec<_> = (0..14)
         .map(|_| {
-            let mut stream = TcpStream::connect(program.at).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            let mut stream = TcpStream::connect(program.address).unwrap();
+            stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
             stream.write_all(b"POST /api").unwrap();
             stream
         })
         .collect();
-    assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status(), 200);
+    assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
     for mut stream in halves {
         let mut words = String::new();
         stream.read_to_string(&mut words).unwrap_or_else(|e| panic!("a reset: {e}"));
--- a/node/tests/key_snapshots.rs
+++ b/node/tests/key_snapshots.rs
@@ -26,7 +26,11 @@
     };
     let (since, mut written) = (Instant::now(), program.log.count("keys: snapshot of"));
     while !holds() {
-        assert!(since.elapsed() < PATIENCE, "no snapshot holds {key} as served: {:#?}", program.log.all());
+        assert!(
+            since.elapsed() < EVENT_TIMEOUT,
+            "no snapshot holds {key} as served: {:#?}",
+            program.log.all()
+        );
         written += 1;
         program.log.wait("keys: snapshot of", written);
     }
@@ -36,7 +40,7 @@
 #[test]
 fn a_snapshot_carries_the_keys_over_a_kill_and_an_end() {
     for orderly in [false, true] {
-        let folder = folder();
+        let folder = test_dir();
         // A first start knows of no predecessor and is in doubt, which it would hand on.
         let doubt = format!("[keys]\ndoubt_s = {}\n\n", if orderly { 0 } else { 60 });
         let operator = doubt + &with_snapshot(&folder);
@@ -59,7 +63,8 @@
         assert_eq!(ask(&program, "short-pick", &format!("all-{key}"), "away", "\r\nX-Retried: 1").0, 503);
         assert_eq!(ask(&program, "wave-release", &format!("new-{key}"), "away", "").0, 503);
         // Another dispatcher may not write there meanwhile.
-        let mut command = Program::command(&Program::config(halls.discovery.at, settings()), Some(&operator));
+        let mut command =
+            Program::command(&Program::config(halls.discovery.address, settings()), Some(&operator));
         let refused = command.output().unwrap();
         let word = String::from_utf8(refused.stderr).unwrap();
         assert!(refused.status.code() == Some(1) && word.contains("another dispatcher uses it"), "{word}");
@@ -70,11 +75,11 @@
 /// always a whole snapshot.
 #[test]
 fn no_kill_leaves_a_snapshot_that_cannot_be_read() {
-    let folder = folder();
+    let folder = test_dir();
     let operator = with_snapshot(&folder);
     let halls = Halls::start();
     // Runners call back to one address, which stays this program's while it is down.
-    let mut config = Program::config(halls.discovery.at, settings());
+    let mut config = Program::config(halls.discovery.address, settings());
     config["listen"] = json!(sablerun_stand_ins::program::free_port().unwrap().to_string());
     // A key is served for longer than a slow disk may take.
     for service in config["settings"]["services"].as_array_mut().unwrap() {
@@ -102,7 +107,7 @@
 
 #[test]
 fn a_damaged_snapshot_is_set_aside_and_never_loaded() {
-    let folder = folder();
+    let folder = test_dir();
     let operator = with_snapshot(&folder);
     let file = folder.join("keys");
     for (bytes, why) in [
@@ -132,7 +137,7 @@
 
 #[test]
 fn the_commands_that_only_look() {
-    let folder = folder();
+    let folder = test_dir();
     let halls = Halls::start();
     let program = halls.program(&with_snapshot(&folder));
     assert_eq!(ask(&program, "wave-release", "key\"<b>", "serve", "").0, 200);
@@ -146,7 +151,7 @@
     let (code, out, _) = sablerun(&["keys", &file, "--member", "ravi-supply"]);
     assert!(code == 0 && out.contains("0 served, 0 may have run"), "{out}");
     let config = folder.join("config.json");
-    std::fs::write(&config, Program::config(halls.discovery.at, settings()).to_string()).unwrap();
+    std::fs::write(&config, Program::config(halls.discovery.address, settings()).to_string()).unwrap();
     let check = |operator: &str| {
         let path = folder.join("operator.toml");
         std::fs::write(&path, operator).unwrap();
@@ -175,7 +180,7 @@
 #[test]
 fn a_line_of_the_log_can_be_one_json_object() {
     let halls = Halls::start();
-    let mut command = Program::command(&Program::config(halls.discovery.at, settings()), Some(KEYS));
+    let mut command = Program::command(&Program::config(halls.discovery.address, settings()), Some(KEYS));
     command.args(["--log", "json"]);
     let program = Program::spawn(command, false);
     let line: Value = serde_json::from_str(&program.log.wait("ready on ", 1)).unwrap();
--- a/node/tests/keys.rs
+++ b/node/tests/keys.rs
@@ -22,7 +22,7 @@
             drop(first);
             program.log.wait("a client has left", 1);
         } else {
-            assert!(halls.runners.iter().all(|r| r.seen.count("DELETE") == 0));
+            assert!(halls.runners.iter().all(|r| r.events.count("DELETE") == 0));
             done(&program, &id, &format!("s-{at}"));
             assert_eq!(outcome(&first), (200, "made once".to_owned()));
         }
@@ -35,7 +35,7 @@
         // And whoever comes later takes the result.
         assert_eq!(ask(&program, "wave-release", "k", "hang", ""), (200, "made once".to_owned()));
         assert_eq!(halls.sent("hang"), 1);
-        assert_eq!(halls.runners.iter().map(|r| r.seen.count("DELETE")).sum::<usize>(), 0);
+        assert_eq!(halls.runners.iter().map(|r| r.events.count("DELETE")).sum::<usize>(), 0);
     }
 }
 
@@ -47,11 +47,11 @@
     let (status, why) = ask(&program, "wave-release", "k", "another body", "");
     assert_eq!((status, why.contains("stands for another request")), (422, true));
     let other_path = head("wave-release", &new_id(), "k", "5000m", "").replace("sid=7f3a", "sid=0000");
-    assert_eq!(call(program.at, &other_path, "serve").status(), 422);
+    assert_eq!(call(program.address, &other_path, "serve").status(), 422);
     assert_eq!(halls.sent("serve"), 1);
     let other_member =
         head("wave-release", &new_id(), "k", "5000m", "").replace("mehran-dist", "ravi-supply");
-    assert_eq!(call(program.at, &other_member, "serve").status(), 200);
+    assert_eq!(call(program.address, &other_member, "serve").status(), 200);
     assert_eq!(ask(&program, "short-pick", "k", "serve", "").0, 200);
     // A class that is safe to repeat has no use for keys.
     assert_eq!(ask(&program, "pick-route", "k", "serve", "").0, 200);
@@ -87,13 +87,13 @@
     assert_eq!(outcome(&first).0, 502, "{id}: not done by its deadline");
     // While its hall is there, a repeat goes to it.
     assert_eq!(outcome(&open_keyed(&program, "wave-release", "k", "300m", "hang").0).0, 502);
-    halls.runners[at].seen.wait("POST hang", 2);
+    halls.runners[at].events.wait("POST hang", 2);
     let (name, hall) = [("s-0", "hall-a"), ("s-1", "hall-b")][at];
-    halls.discovery.tell(&[host(name, halls.runners[at].at, hall, "left")]);
+    halls.discovery.update(&[host(name, halls.runners[at].address, hall, "left")]);
     program.log.wait("list Delta", 1);
     let (status, _) = outcome(&open_keyed(&program, "wave-release", "k", "300m", "hang").0);
     assert_eq!(status, 502, "not a refusal either: another dispatcher might send it elsewhere");
-    assert_eq!((halls.sent("hang"), halls.runners[1 - at].seen.count("POST")), (2, 0));
+    assert_eq!((halls.sent("hang"), halls.runners[1 - at].events.count("POST")), (2, 0));
     // Another key is free to go there.
     assert_eq!(ask(&program, "wave-release", "l", "serve", "").0, 200);
 }
@@ -114,7 +114,7 @@
 fn a_key_is_one_over_both_fronts() {
     let halls = Halls::start();
     let program = halls.program(BOTH);
-    let mut caller = Caller::connect(program.faktory.unwrap(), None);
+    let mut caller = FaktoryConnection::connect(program.faktory_address.unwrap(), None);
     let push = |word: &str, custom: Value| {
         json!({"jid": format!("j-{}", new_id()), "jobtype": "Wave", "queue": "waves", "args": [word],
                "custom": custom})
@@ -126,17 +126,17 @@
     program.log.wait("request j-", 1);
     done(&program, &id, &format!("s-{at}"));
     assert_eq!(outcome(&http), (200, "made once".to_owned()));
-    assert_eq!(caller.line().unwrap(), "+OK");
+    assert_eq!(caller.read_line().unwrap(), "+OK");
     assert_eq!(halls.sent("hang"), 1);
     // The other way: pushed, then taken by HTTP.
-    assert_eq!(caller.say(&format!("PUSH {}", push("serve", json!({"key": "l"})))), "+OK");
+    assert_eq!(caller.command(&format!("PUSH {}", push("serve", json!({"key": "l"})))), "+OK");
     assert_eq!(ask(&program, "wave-release", "l", "[\"serve\"]", "").0, 200);
     assert_eq!(halls.sent("serve"), 1);
-    let word = caller.say(&format!("PUSH {}", push("other", json!({"key": "l"}))));
+    let word = caller.command(&format!("PUSH {}", push("other", json!({"key": "l"}))));
     assert!(word.starts_with("-ERR MALFORMED PUSH: the idempotency key stands for another"), "{word}");
-    let word = caller.say(&format!("PUSH {}", push("serve", json!({"key": "\u{1f9fa}"}))));
+    let word = caller.command(&format!("PUSH {}", push("serve", json!({"key": "\u{1f9fa}"}))));
     assert!(word.starts_with("-ERR MALFORMED PUSH: custom.key must be visible ASCII"), "{word}");
-    let word = caller.say(&format!("PUSH {}", push("serve", json!({"key": "x".repeat(65_536)}))));
+    let word = caller.command(&format!("PUSH {}", push("serve", json!({"key": "x".repeat(65_536)}))));
     assert!(word.starts_with("-ERR MALFORMED PUSH: the idempotency key is empty or too long"), "{word}");
-    assert_eq!(caller.say(&format!("PUSH {}", push("serve", json!({"key": "m"})))), "+OK");
+    assert_eq!(caller.command(&format!("PUSH {}", push("serve", json!({"key": "m"})))), "+OK");
 }
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -9,22 +9,27 @@
 #[test]
 fn nothing_new_goes_to_a_runner_once_it_drains() {
     let (leaving, staying) = (Runner::start("s-0"), Runner::start("s-1"));
-    let discovery = Discovery::start(vec![host("s-0", leaving.at, "hall-a", "active")]);
+    let discovery = Discovery::start(vec![host("s-0", leaving.address, "hall-a", "active")]);
     let program = Program::start(&discovery, settings(), None);
     leaving.call_back_to(&program);
     staying.call_back_to(&program);
-    assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
-    discovery
-        .tell(&[host("s-0", leaving.at, "hall-a", "leaving"), host("s-1", staying.at, "hall-a", "active")]);
+    assert_eq!(call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
+    discovery.update(&[
+        host("s-0", leaving.address, "hall-a", "leaving"),
+        host("s-1", staying.address, "hall-a", "active"),
+    ]);
     program.log.wait("list Delta", 1);
-    let before = leaving.seen.count("POST");
+    let before = leaving.events.count("POST");
     for _ in 0..20 {
-        assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-1");
+        assert_eq!(
+            call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body,
+            "by s-1"
+        );
     }
-    assert_eq!(leaving.seen.count("POST"), before);
+    assert_eq!(leaving.events.count("POST"), before);
     discovery.break_watches();
     program.log.wait("list Full", 2);
-    assert!(discovery.calls.wait("stream=1", 2).contains("index=2"));
+    assert!(discovery.request_lines.wait("stream=1", 2).contains("index=2"));
 }
 
 /// Calls that discovery turns down and a watch on which nobody speaks any more are made anew, and the
@@ -32,21 +37,27 @@
 #[test]
 fn the_watch_is_made_anew_and_an_old_list_is_corrected() {
     let (old, new) = (Runner::start("s-0"), Runner::start("s-1"));
-    let hosts = vec![host("s-1", new.at, "hall-a", "active")];
-    let discovery = Discovery::planned(hosts, &[Planned::Busy, Planned::Reset, Planned::Silent]);
-    let mut config = Program::config(discovery.at, settings());
-    config["known"]["hosts"] = json!([host("s-0", old.at, "hall-a", "active")]);
+    let hosts = vec![host("s-1", new.address, "hall-a", "active")];
+    let discovery = Discovery::start_with_replies(
+        hosts,
+        &[PlannedReply::Unavailable, PlannedReply::Close, PlannedReply::StalledWatch],
+    );
+    let mut config = Program::config(discovery.address, settings());
+    config["known"]["hosts"] = json!([host("s-0", old.address, "hall-a", "active")]);
     let program = Program::start_with(config, None);
     old.call_back_to(&program);
     new.call_back_to(&program);
     for _ in 0..10 {
-        assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-1");
+        assert_eq!(
+            call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body,
+            "by s-1"
+        );
     }
     program.log.wait("watch failed: answered 503", 1);
     program.log.wait("watch failed: silent", 1);
     program.log.wait("list Full", 2);
     assert!(program.log.count("watch failed") >= 3);
-    assert_eq!(old.seen.count("POST"), 0);
+    assert_eq!(old.events.count("POST"), 0);
 }
 
 /// What was told while the program was not there is not in the list that it starts with, and binds all the same:
@@ -54,23 +65,31 @@
 #[test]
 fn nothing_is_sent_by_the_list_from_before_the_start() {
     let (old, new) = (Runner::start("s-0"), Runner::start("s-1"));
-    let hosts = vec![host("s-1", new.at, "hall-a", "active")];
-    let discovery = Discovery::planned(hosts, &[Planned::Busy, Planned::Busy, Planned::Busy, Planned::Busy]);
-    let mut config = Program::config(discovery.at, settings());
-    config["known"]["hosts"] = json!([host("s-0", old.at, "hall-a", "active")]);
+    let hosts = vec![host("s-1", new.address, "hall-a", "active")];
+    let discovery = Discovery::start_with_replies(
+        hosts,
+        &[
+            PlannedReply::Unavailable,
+            PlannedReply::Unavailable,
+            PlannedReply::Unavailable,
+            PlannedReply::Unavailable,
+        ],
+    );
+    let mut config = Program::config(discovery.address, settings());
+    config["known"]["hosts"] = json!([host("s-0", old.address, "hall-a", "active")]);
     let program = Program::spawn_until(Program::command(&config, None), false, "watch failed");
     old.call_back_to(&program);
     new.call_back_to(&program);
     // Clients are sent elsewhere meanwhile.
-    assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status, 503);
+    assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status, 503);
     let served = loop {
-        let told = call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x");
+        let told = call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x");
         if told.status != 503 {
             break told;
         }
     };
-    assert_eq!((served.body.as_str(), old.seen.count("POST")), ("by s-1", 0));
-    assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status, 200);
+    assert_eq!((served.body.as_str(), old.events.count("POST")), ("by s-1", 0));
+    assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status, 200);
 }
 
 /// Discovery that moves under load: the new address is asked at once and for the whole list, what is
@@ -78,28 +97,32 @@
 #[test]
 fn sighup_moves_the_watch_to_the_discovery_that_the_file_names() {
     let (leaving, staying) = (Runner::start("s-0"), Runner::start("s-1"));
-    let hosts = [host("s-0", leaving.at, "hall-a", "active"), host("s-1", staying.at, "hall-a", "active")];
+    let hosts =
+        [host("s-0", leaving.address, "hall-a", "active"), host("s-1", staying.address, "hall-a", "active")];
     let old = Discovery::start(hosts[..1].to_vec());
     let program = Program::start(&old, settings(), None);
     leaving.call_back_to(&program);
     staying.call_back_to(&program);
-    old.tell(&hosts[..1]);
+    old.update(&hosts[..1]);
     program.log.wait("list Delta 2", 1);
     // The first call there fails: it is made again there and not at the old address.
-    let new = Discovery::planned(hosts[..1].to_vec(), &[Planned::Busy]);
-    std::fs::write(&program.config, Program::config(new.at, settings()).to_string()).unwrap();
+    let new = Discovery::start_with_replies(hosts[..1].to_vec(), &[PlannedReply::Unavailable]);
+    std::fs::write(&program.config, Program::config(new.address, settings()).to_string()).unwrap();
     program.signal("HUP");
     program.log.wait("watch failed: answered 503", 1);
-    assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
-    assert!(new.calls.wait("stream=1", 2).contains("index=0"));
+    assert_eq!(call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
+    assert!(new.request_lines.wait("stream=1", 2).contains("index=0"));
     program.log.wait("list Full 1", 2);
     old.break_watches();
-    new.tell(&[host("s-0", leaving.at, "hall-a", "leaving"), hosts[1].clone()]);
+    new.update(&[host("s-0", leaving.address, "hall-a", "leaving"), hosts[1].clone()]);
     program.log.wait("list Delta 2", 2);
     for _ in 0..10 {
-        assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-1");
+        assert_eq!(
+            call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body,
+            "by s-1"
+        );
     }
-    assert_eq!((old.calls.count("stream=1"), program.log.count("watch failed")), (1, 1));
+    assert_eq!((old.request_lines.count("stream=1"), program.log.count("watch failed")), (1, 1));
 }
 
 /// Where lists are pushed, they come over a watch on the machine's agent: it is opened at once, what was known
@@ -107,19 +130,25 @@
 #[test]
 fn a_pushed_list_comes_over_a_watch_on_the_agent() {
     let (old, new) = (Runner::start("s-0"), Runner::start("s-1"));
-    let agent = Discovery::planned(vec![host("s-1", new.at, "hall-a", "active")], &[Planned::Reset]);
+    let agent = Discovery::start_with_replies(
+        vec![host("s-1", new.address, "hall-a", "active")],
+        &[PlannedReply::Close],
+    );
     let mut pushed = settings();
     pushed["membershipMode"] = json!("pushed");
-    let mut config = Program::config(agent.at, pushed);
-    config["known"]["hosts"] = json!([host("s-0", old.at, "hall-a", "active")]);
+    let mut config = Program::config(agent.address, pushed);
+    config["known"]["hosts"] = json!([host("s-0", old.address, "hall-a", "active")]);
     let program = Program::start_with(config, None);
     new.call_back_to(&program);
     for _ in 0..10 {
-        assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-1");
+        assert_eq!(
+            call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body,
+            "by s-1"
+        );
     }
-    assert_eq!(old.seen.count("POST"), 0);
+    assert_eq!(old.events.count("POST"), 0);
     agent.break_watches();
-    agent.calls.wait("stream=1", 3);
+    agent.request_lines.wait("stream=1", 3);
 }
 
 /// A file that is half written, or makes no sense, leaves everything as it is and says so.
@@ -137,7 +166,7 @@
         program.signal("HUP");
         assert!(program.log.wait("configuration not read anew", n + 1).contains(key));
     }
-    assert_eq!(call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
+    assert_eq!(call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
     discovery.break_watches();
-    discovery.calls.wait("stream=1", 2);
+    discovery.request_lines.wait("stream=1", 2);
 }
--- a/node/tests/outage.rs
+++ b/node/tests/outage.rs
@@ -101,11 +101,11 @@
 /// all is served again once discovery tells its list.
 fn play(way: Way, failure: &str) {
     let runner = Runner::start("s-0");
-    let discovery = Discovery::start(vec![host("s-0", runner.at, "hall-a", "active")]);
-    let door = Door::new(discovery.at);
+    let discovery = Discovery::start(vec![host("s-0", runner.address, "hall-a", "active")]);
+    let door = Door::new(discovery.address);
     let program = Program::start_with(Program::config(door.at, settings()), None);
     runner.call_back_to(&program);
-    let ask = |timeout: &str| call(program.at, &api("pick-route", &new_id(), timeout, ""), "x");
+    let ask = |timeout: &str| call(program.address, &api_request("pick-route", &new_id(), timeout, ""), "x");
     assert_eq!(ask("5000m").body, "by s-0");
     door.set(way);
     program.log.wait("watch failed", 1);
@@ -114,10 +114,10 @@
     while ended.elapsed() < TOLD {
         ask("300m");
     }
-    let (sent, asked) = (runner.seen.count("POST"), program.log.count(failure));
+    let (sent, asked) = (runner.events.count("POST"), program.log.count(failure));
     while ended.elapsed() < FAILS {
         assert_eq!(ask("300m").status, 503);
-        assert_eq!(runner.seen.count("POST"), sent, "sent {:?} after the watch's end", ended.elapsed());
+        assert_eq!(runner.events.count("POST"), sent, "sent {:?} after the watch's end", ended.elapsed());
     }
     assert!(asked > 0 && program.log.count(failure) > asked, "discovery is asked all the while");
     door.set(Way::Open);
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -10,24 +10,24 @@
 
 /// A connection that has carried a request and rests.
 fn kept(program: &Program) -> TcpStream {
-    let mut stream = TcpStream::connect(program.at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut stream = TcpStream::connect(program.address).unwrap();
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     write!(stream, "GET /up HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
     assert_eq!(answer(&stream).unwrap().status(), 200);
     stream
 }
 
 fn text(id: &str, body: &str) -> String {
-    let head = api("short-pick", id, "5000m", "");
+    let head = api_request("short-pick", id, "5000m", "");
     format!("{head}\r\nHost: t\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// A program on a socket that the test holds too: on SIGTERM it lets clients go at once.
 fn on_a_shared_socket(discovery: &Discovery) -> Program {
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut config = Program::config(discovery.at, settings());
+    let mut config = Program::config(discovery.address, settings());
     config["listen"] = json!(socket.local_addr().unwrap().to_string());
-    Program::spawn(Program::command_on(&config, &socket, None), false)
+    Program::spawn(Program::command_on_socket(&config, &socket, None), false)
 }
 
 /// Half a head and half a body on kept connections, that come to their end once clients are let go: each
@@ -43,7 +43,7 @@
     heads.write_all(&up.as_bytes()[..up.len() / 2]).unwrap();
     bodies.write_all(&job.as_bytes()[..job.len() - 4]).unwrap();
     // The program answers a call after these bytes were there: it has read them.
-    assert_eq!(call(program.at, "GET /up HTTP/1.1", "").status(), 200);
+    assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
     program.signal("TERM");
     program.log.wait("lets clients go", 1);
     // Whoever rests is let go by an end between requests.
@@ -64,13 +64,13 @@
 #[test]
 fn a_request_behind_the_last_answer_is_not_sent_on() {
     let runner = Runner::start("s-0");
-    let discovery = Discovery::start(vec![host("s-0", runner.at, "hall-a", "active")]);
+    let discovery = Discovery::start(vec![host("s-0", runner.address, "hall-a", "active")]);
     let mut program = on_a_shared_socket(&discovery);
     let (first, behind) = (new_id(), new_id());
     let mut stream = open(&program, "short-pick", &first, "5000m", "hang");
-    runner.seen.wait("POST hang", 1);
+    runner.events.wait("POST hang", 1);
     // The runner's call-backs come over one connection, which stays.
-    let mut runners = TcpStream::connect(program.at).unwrap();
+    let mut runners = TcpStream::connect(program.address).unwrap();
     let mut tell = |state: &str| {
         let body = json!({"id": first, "from": "s-0", "state": state, "result": "at last"}).to_string();
         let length = body.len();
@@ -84,20 +84,20 @@
     program.log.wait("lets clients go", 1);
     stream.write_all(text(&behind, "early").as_bytes()).unwrap();
     tell("done");
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     let mut words = String::new();
     stream.read_to_string(&mut words).unwrap();
     assert!(words.starts_with("HTTP/1.1 200") && words.contains("at last"), "{words}");
     assert!(program.child.wait().unwrap().success());
-    assert_eq!(runner.seen.count(&behind), 0);
+    assert_eq!(runner.events.count(&behind), 0);
 }
 
 /// On a kept connection each of two requests sent at once gets its own answer, in order.
 #[test]
 fn a_request_behind_another_gets_its_own_answer() {
     let (_discovery, _runner, program) = one_runner();
-    let mut stream = TcpStream::connect(program.at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut stream = TcpStream::connect(program.address).unwrap();
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     let up = "GET /up HTTP/1.1\r\nHost: t\r\n\r\n";
     let both = text(&new_id(), "early") + up + &text(&new_id(), "early");
     stream.write_all(both.as_bytes()).unwrap();
@@ -113,7 +113,7 @@
 #[test]
 fn a_signal_during_the_start_does_not_kill() {
     let discovery = Discovery::start(Vec::new());
-    let config = Program::config(discovery.at, settings());
+    let config = Program::config(discovery.address, settings());
     let mut command = Program::command(&config, None);
     let place = command.get_envs().find(|(name, _)| *name == "NODE_CONFIG").unwrap().1.unwrap().to_owned();
     std::fs::remove_file(&place).unwrap();
@@ -149,7 +149,7 @@
 #[test]
 fn the_end_follows_the_settings_in_force_then() {
     let discovery = Discovery::start(Vec::new());
-    let mut config = Program::config(discovery.at, settings());
+    let mut config = Program::config(discovery.address, settings());
     let mut program = Program::start_with(config.clone(), None);
     for service in config["settings"]["services"].as_array_mut().unwrap() {
         service["deadline"] = json!(400_000_000);
--- a/node/tests/watches.rs
+++ b/node/tests/watches.rs
@@ -5,9 +5,9 @@
 use common::*;
 
 /// Two runners, discovery that goes as planned and tells of the first alone, and the program.
-fn start(plan: &[Planned]) -> (Runner, Runner, Discovery, Program) {
+fn start(plan: &[PlannedReply]) -> (Runner, Runner, Discovery, Program) {
     let (one, two) = (Runner::start("s-0"), Runner::start("s-1"));
-    let discovery = Discovery::planned(vec![host("s-0", one.at, "hall-a", "active")], plan);
+    let discovery = Discovery::start_with_replies(vec![host("s-0", one.address, "hall-a", "active")], plan);
     let program = Program::start(&discovery, settings(), None);
     one.call_back_to(&program);
     two.call_back_to(&program);
@@ -15,20 +15,20 @@
 }
 
 fn ask(program: &Program) -> Message {
-    call(program.at, &api("pick-route", &new_id(), "300m", ""), "x")
+    call(program.address, &api_request("pick-route", &new_id(), "300m", ""), "x")
 }
 
 /// A request that is to be served, however busy the machine is.
 fn served(program: &Program) -> String {
-    call(program.at, &api("pick-route", &new_id(), "5000m", ""), "x").body
+    call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body
 }
 
 /// Bytes that never end an object are no sign of life.
 #[test]
 fn a_watch_that_trickles_is_silent() {
-    let (_one, _two, discovery, program) = start(&[Planned::Trickle]);
+    let (_one, _two, discovery, program) = start(&[PlannedReply::Trickle]);
     program.log.wait("watch failed: silent", 1);
-    discovery.calls.wait("stream=1", 2);
+    discovery.request_lines.wait("stream=1", 2);
     program.log.wait("list Full", 2);
     assert_eq!(served(&program), "by s-0");
 }
@@ -36,9 +36,9 @@
 /// Silent from the first byte on: called for anew in time, and what answers then counts.
 #[test]
 fn a_call_that_is_never_answered_is_made_anew() {
-    let (_one, _two, discovery, program) = start(&[Planned::Mute]);
+    let (_one, _two, discovery, program) = start(&[PlannedReply::NoReply]);
     program.log.wait("watch failed: no answer", 1);
-    discovery.calls.wait("stream=1", 2);
+    discovery.request_lines.wait("stream=1", 2);
     program.log.wait("list Full", 1);
     assert_eq!(served(&program), "by s-0");
 }
@@ -47,7 +47,8 @@
 /// it was only late, and all goes on.
 #[test]
 fn an_empty_line_on_a_watch_that_was_late_ends_the_blindness() {
-    let plan: Vec<_> = std::iter::once(Planned::Late).chain([Planned::Mute; 20]).collect();
+    let plan: Vec<_> =
+        std::iter::once(PlannedReply::DelayedUpdates).chain([PlannedReply::NoReply; 20]).collect();
     let (_one, _two, discovery, program) = start(&plan);
     program.log.wait("watch failed: silent", 1);
     // On a busy machine a job may be late without that: blind is who begins nothing, five times in a row.
@@ -67,15 +68,15 @@
 /// The list that a new watch tells was made before a change that the old one told meanwhile: it is passed over.
 #[test]
 fn a_list_that_newer_news_has_crossed_is_passed_over() {
-    let (one, two, discovery, program) = start(&[Planned::Late, Planned::Held]);
-    discovery.calls.wait("stream=1", 2);
-    let leaving = host("s-0", one.at, "hall-a", "leaving");
-    discovery.tell(&[leaving, host("s-1", two.at, "hall-a", "active")]);
+    let (one, two, discovery, program) = start(&[PlannedReply::DelayedUpdates, PlannedReply::DelayedList]);
+    discovery.request_lines.wait("stream=1", 2);
+    let leaving = host("s-0", one.address, "hall-a", "leaving");
+    discovery.update(&[leaving, host("s-1", two.address, "hall-a", "active")]);
     discovery.resume();
     program.log.wait("list Delta 2", 1);
     discovery.resume();
-    discovery.calls.wait("stream=1", 2);
-    discovery.tell(&[host("s-1", two.at, "hall-a", "active")]);
+    discovery.request_lines.wait("stream=1", 2);
+    discovery.update(&[host("s-1", two.address, "hall-a", "active")]);
     program.log.wait("list Delta 3", 1);
     assert_eq!(program.log.count("list Full 1: 1 entries"), 1, "the list from before the drain was taken");
     assert_eq!(served(&program), "by s-1");
@@ -86,10 +87,10 @@
 fn a_discovery_that_counts_anew_is_believed() {
     let (one, two, discovery, program) = start(&[]);
     for n in 2..5 {
-        discovery.tell(&[host("s-0", one.at, "hall-a", "active")]);
+        discovery.update(&[host("s-0", one.address, "hall-a", "active")]);
         program.log.wait(&format!("list Delta {n}"), 1);
     }
-    discovery.restart(vec![host("s-1", two.at, "hall-a", "active")]);
+    discovery.restart(vec![host("s-1", two.address, "hall-a", "active")]);
     program.log.wait("list Full 1", 2);
     assert_eq!(served(&program), "by s-1");
 }
@@ -97,7 +98,7 @@
 /// A connection that discovery closes as a further call comes on it costs no call: none is used twice.
 #[test]
 fn no_call_is_written_to_a_connection_that_was_kept() {
-    let (_one, _two, _discovery, program) = start(&[Planned::Last]);
+    let (_one, _two, _discovery, program) = start(&[PlannedReply::UnavailableThenClose]);
     program.log.wait("list Full", 1);
     assert_eq!(program.log.count("watch failed"), 1);
 }
--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -3,16 +3,16 @@
 //! wrong what a test plans.
 
 mod calls;
-pub mod counted;
 pub mod lists;
+pub mod metrics;
 
 use crate::http::Connection;
-use crate::link::{Cut, Link, View};
+use crate::metrics::TrafficSource;
+use crate::region_link::{Partition, RegionLink, View};
 use crate::scripted::Events;
-use crate::tally::Side;
 use calls::Caller;
-use counted::Counts;
 use lists::{Entries, Lists, change};
+use metrics::DiscoveryMetrics;
 use serde_json::Value;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -28,43 +28,43 @@
 
 struct State {
     lists: Lists,
-    plan: VecDeque<Planned>,
+    plan: VecDeque<PlannedReply>,
 }
 
 /// What a call gets in place of its due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planned {
+pub enum PlannedReply {
     /// 503.
-    Busy,
+    Unavailable,
     /// The connection's end.
-    Reset,
+    Close,
     /// The list, and no line after it.
-    Silent,
+    StalledWatch,
     /// No answer at all.
-    Mute,
+    NoReply,
     /// The list, no line after it until the first [`Discovery::resume`], then an empty one and what has changed.
-    Late,
+    DelayedUpdates,
     /// The list as it is at the call, written at the second [`Discovery::resume`].
-    Held,
+    DelayedList,
     /// The list, and then an object a byte at a time that never ends.
     Trickle,
     /// 503, and the connection's end as a further call comes on it.
-    Last,
+    UnavailableThenClose,
 }
 
 /// Who asks, and how they are told.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Config {
     /// From where the list is seen.
     pub views: Vec<View>,
     /// The view of each dispatcher.
-    pub dispatchers: Vec<usize>,
+    pub dispatcher_views: Vec<usize>,
     /// Bytes of a watch's chunks; each object is one if left out.
-    pub chunk: Option<usize>,
+    pub chunk_bytes: Option<usize>,
     /// Whether changes come indented, as lists may.
     pub indented: bool,
     /// How many changes are known to those who ask what came after a version.
-    pub held: usize,
+    pub retained_changes: usize,
 }
 
 #[derive(Clone)]
@@ -79,15 +79,15 @@
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
-    plan: Arc<Plan>,
-    link: Arc<Link>,
-    tally: Arc<Counts>,
+    plan: Arc<Config>,
+    link: Arc<RegionLink>,
+    tally: Arc<DiscoveryMetrics>,
     changes: broadcast::Sender<Change>,
     resumed: watch::Sender<usize>,
     /// The calls' first lines.
-    pub calls: Events,
+    pub request_lines: Events,
     /// Where each dispatcher asks.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
 }
 
 impl Discovery {
@@ -97,7 +97,7 @@
     ///
     /// If no address is free.
     pub async fn start(hosts: Vec<Vec<Value>>) -> std::io::Result<Discovery> {
-        Discovery::planned(hosts, &[]).await
+        Discovery::start_with_replies(hosts, &[]).await
     }
 
     /// The same, whose first calls go as planned. Watches always begin with the whole list, in chunks that end
@@ -106,11 +106,15 @@
     /// # Errors
     ///
     /// If no address is free.
-    pub async fn planned(hosts: Vec<Vec<Value>>, calls: &[Planned]) -> std::io::Result<Discovery> {
-        let views = vec![View { region: 0, side: Side::Real }; hosts.len()];
-        let dispatchers = (0..hosts.len()).collect();
-        let plan = Plan { views, dispatchers, chunk: Some(37), indented: true, held: 0 };
-        Discovery::serve(hosts, plan, calls).await
+    pub async fn start_with_replies(
+        hosts: Vec<Vec<Value>>,
+        calls: &[PlannedReply],
+    ) -> std::io::Result<Discovery> {
+        let views = vec![View { region: 0, source: TrafficSource::Real }; hosts.len()];
+        let dispatcher_views = (0..hosts.len()).collect();
+        let plan =
+            Config { views, dispatcher_views, chunk_bytes: Some(37), indented: true, retained_changes: 0 };
+        Discovery::start_with_config(hosts, plan, calls).await
     }
 
     /// Serves each dispatcher the list of its view.
@@ -118,13 +122,17 @@
     /// # Errors
     ///
     /// If no address is free.
-    pub async fn serve(hosts: Entries, plan: Plan, calls: &[Planned]) -> std::io::Result<Discovery> {
+    pub async fn start_with_config(
+        hosts: Entries,
+        plan: Config,
+        calls: &[PlannedReply],
+    ) -> std::io::Result<Discovery> {
         let mut listeners = Vec::new();
-        for _ in &plan.dispatchers {
+        for _ in &plan.dispatcher_views {
             listeners.push(TcpListener::bind("127.0.0.1:0").await?);
         }
-        let at = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let lists = Lists::new(hosts, plan.held);
+        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
+        let lists = Lists::new(hosts, plan.retained_changes);
         let discovery = Discovery {
             state: Arc::new(Mutex::new(State { lists, plan: calls.iter().copied().collect() })),
             plan: Arc::new(plan),
@@ -132,8 +140,8 @@
             tally: Arc::default(),
             changes: broadcast::channel(BEHIND).0,
             resumed: watch::channel(0).0,
-            calls: Events::default(),
-            at,
+            request_lines: Events::default(),
+            addresses,
         };
         for (dispatcher, listener) in listeners.into_iter().enumerate() {
             let discovery = discovery.clone();
@@ -152,7 +160,7 @@
     }
 
     /// Tells every watch of a change: entries for each view. The version that it has.
-    pub fn tell(&self, changed: &[Vec<Value>]) -> u64 {
+    pub fn update(&self, changed: &[Vec<Value>]) -> u64 {
         let mut state = self.state.lock().expect("no holder panics");
         state.lists.change(changed);
         let seq = state.lists.seq();
@@ -172,7 +180,7 @@
     /// Begins to count anew, as one that was restarted: watches end, and this is the list.
     pub fn restart(&self, hosts: Vec<Vec<Value>>) {
         let mut state = self.state.lock().expect("no holder panics");
-        state.lists = Lists::new(hosts, self.plan.held);
+        state.lists = Lists::new(hosts, self.plan.retained_changes);
         let _ = self.changes.send(Change::Broken);
     }
 
@@ -182,12 +190,12 @@
     }
 
     /// Cuts the link to dispatchers of other regions than discovery's, which is the first, or makes it whole.
-    pub fn link(&self, cut: Option<Cut>) {
+    pub fn set_partition(&self, cut: Option<Partition>) {
         self.link.set(cut);
     }
 
     /// What was counted.
-    pub fn tally(&self) -> &Counts {
+    pub fn metrics(&self) -> &DiscoveryMetrics {
         &self.tally
     }
 }
--- a/stand-ins/src/discovery/calls.rs
+++ b/stand-ins/src/discovery/calls.rs
@@ -1,10 +1,10 @@
 //! One dispatcher's connection to discovery: calls for the list, and the watch. It owns what is written on it, by
 //! the plan where there is one, and the silence of a cut link; it must never change the list.
 
-use super::counted::{Count, Level};
-use super::{Change, Discovery, Planned};
+use super::metrics::{Counter, Gauge};
+use super::{Change, Discovery, PlannedReply};
 use crate::http::Connection;
-use crate::link::{Cut, View};
+use crate::region_link::{Partition, View};
 use std::io;
 use std::time::Duration;
 use tokio::sync::{broadcast, watch};
@@ -26,7 +26,7 @@
 
 impl Caller {
     pub(super) fn new(discovery: Discovery, dispatcher: usize, connection: Connection) -> Caller {
-        let view = discovery.plan.dispatchers[dispatcher];
+        let view = discovery.plan.dispatcher_views[dispatcher];
         let seen = discovery.plan.views[view];
         Caller { discovery, view, seen, connection }
     }
@@ -34,9 +34,9 @@
     /// Serves the connection to its end.
     pub(super) async fn serve(mut self) {
         let tally = self.discovery.tally.clone();
-        tally.add(self.seen.side, Count::Accepted, 1);
-        let _open = tally.hold(self.seen.side, Level::Connections);
-        if self.cut() == Some(Cut::Both) {
+        tally.add(self.seen.source, Counter::Accepted, 1);
+        let _open = tally.hold(self.seen.source, Gauge::Connections);
+        if self.cut() == Some(Partition::BothDirections) {
             // It never came up, and is reset once it could.
             self.whole().await;
             self.connection.reset();
@@ -45,12 +45,12 @@
         }
     }
 
-    fn cut(&self) -> Option<Cut> {
-        self.discovery.link.cut(self.seen.region, REGION)
+    fn cut(&self) -> Option<Partition> {
+        self.discovery.link.partition(self.seen.region, REGION)
     }
 
     async fn whole(&self) {
-        self.discovery.link.whole(self.seen.region, REGION).await;
+        self.discovery.link.wait_restored(self.seen.region, REGION).await;
     }
 
     /// Waits until something can pass; whether the connection still stands then.
@@ -60,21 +60,21 @@
         }
         let link = self.discovery.link.clone();
         tokio::select! {
-            () = link.whole(self.seen.region, REGION) => !self.connection.ended(),
-            () = self.connection.end() => false,
+            () = link.wait_restored(self.seen.region, REGION) => !self.connection.is_closed(),
+            () = self.connection.closed() => false,
         }
     }
 
     async fn converse(&mut self) -> io::Result<()> {
-        let (tally, side) = (self.discovery.tally.clone(), self.seen.side);
+        let (tally, side) = (self.discovery.tally.clone(), self.seen.source);
         while let Some(request) = self.connection.read().await? {
-            if self.cut() == Some(Cut::Both) && !self.passes().await {
+            if self.cut() == Some(Partition::BothDirections) && !self.passes().await {
                 return Ok(());
             }
-            tally.add(side, Count::BytesIn, request.bytes);
-            let under_way = tally.hold(side, Level::Calls);
+            tally.add(side, Counter::BytesIn, request.wire_bytes);
+            let under_way = tally.hold(side, Gauge::Calls);
             let watches = request.target.contains("stream=1");
-            tally.add(side, if watches { Count::WatchCalls } else { Count::ListCalls }, 1);
+            tally.add(side, if watches { Counter::WatchCalls } else { Counter::ListCalls }, 1);
             let mut resumed = self.discovery.resumed.subscribe();
             let (changes, planned, (first, kind)) = {
                 let mut state = self.discovery.state.lock().expect("no holder panics");
@@ -84,25 +84,25 @@
                 let since = version(&request.target).filter(|_| watches);
                 let since = since.and_then(|version| state.lists.since(self.view, version));
                 let first = match since {
-                    Some(change) => (change.to_string().into(), Count::Changes),
-                    None => (state.lists.whole(self.view), Count::WholeLists),
+                    Some(change) => (change.to_string().into(), Counter::Changes),
+                    None => (state.lists.whole(self.view), Counter::WholeLists),
                 };
                 (changes, planned, first)
             };
-            self.discovery.calls.push(format!("{} {} HTTP/1.1", request.method, request.target));
+            self.discovery.request_lines.push(format!("{} {} HTTP/1.1", request.method, request.target));
             match planned {
-                Some(Planned::Busy) => {
+                Some(PlannedReply::Unavailable) => {
                     self.connection.write("HTTP/1.1 503 Busy", b"").await?;
                     continue;
                 }
-                Some(Planned::Last) => {
+                Some(PlannedReply::UnavailableThenClose) => {
                     self.connection.write("HTTP/1.1 503 Busy", b"").await?;
                     let _ = self.connection.read().await;
                     return Ok(());
                 }
-                Some(Planned::Reset) => return Ok(()),
-                Some(Planned::Mute) => std::future::pending().await,
-                Some(Planned::Held) => _ = resumed.wait_for(|times| *times >= 2).await,
+                Some(PlannedReply::Close) => return Ok(()),
+                Some(PlannedReply::NoReply) => std::future::pending().await,
+                Some(PlannedReply::DelayedList) => _ = resumed.wait_for(|times| *times >= 2).await,
                 _ => {}
             }
             if !self.passes().await {
@@ -111,16 +111,16 @@
             tally.add(side, kind, 1);
             if !watches {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", first.len());
-                tally.add(side, Count::BytesOutLists, head.len() + first.len());
-                self.connection.raw(&[head.as_bytes(), first.as_bytes()].concat()).await?;
+                tally.add(side, Counter::BytesOutLists, head.len() + first.len());
+                self.connection.write_raw(&[head.as_bytes(), first.as_bytes()].concat()).await?;
                 continue;
             }
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
             tally.add(side, bytes_of(kind), head.len());
-            self.connection.raw(head).await?;
+            self.connection.write_raw(head).await?;
             self.line(&first, kind).await?;
             drop(under_way);
-            let _open = tally.hold(side, Level::Watches);
+            let _open = tally.hold(side, Gauge::Watches);
             return self.watch(planned, resumed, changes).await;
         }
         Ok(())
@@ -129,21 +129,21 @@
     /// Writes what changes, and empty lines, after the first object.
     async fn watch(
         &mut self,
-        planned: Option<Planned>,
+        planned: Option<PlannedReply>,
         mut resumed: watch::Receiver<usize>,
         mut changes: broadcast::Receiver<Change>,
     ) -> io::Result<()> {
         match planned {
-            Some(Planned::Silent) => std::future::pending().await,
-            Some(Planned::Late) if *resumed.borrow() == 0 => {
+            Some(PlannedReply::StalledWatch) => std::future::pending().await,
+            Some(PlannedReply::DelayedUpdates) if *resumed.borrow() == 0 => {
                 let _ = resumed.wait_for(|times| *times >= 1).await;
-                self.line("", Count::EmptyLines).await?;
+                self.line("", Counter::EmptyLines).await?;
             }
-            Some(Planned::Trickle) => {
-                self.connection.raw(b"1\r\n{\r\n").await?;
+            Some(PlannedReply::Trickle) => {
+                self.connection.write_raw(b"1\r\n{\r\n").await?;
                 loop {
                     tokio::time::sleep(TRICKLE).await;
-                    self.connection.raw(b"1\r\n \r\n").await?;
+                    self.connection.write_raw(b"1\r\n \r\n").await?;
                 }
             }
             _ => {}
@@ -154,34 +154,34 @@
                 return Ok(());
             }
             let (line, kind) = match &told {
-                Err(_) => ("", Count::EmptyLines),
-                Ok(Ok(Change::Told(lines))) => (lines[self.view].as_str(), Count::Changes),
+                Err(_) => ("", Counter::EmptyLines),
+                Ok(Ok(Change::Told(lines))) => (lines[self.view].as_str(), Counter::Changes),
                 Ok(Ok(Change::Broken) | Err(_)) => return Ok(()),
             };
-            self.discovery.tally.add(self.seen.side, kind, 1);
+            self.discovery.tally.add(self.seen.source, kind, 1);
             self.line(line, kind).await?;
         }
     }
 
     /// Writes a line of the watch, in chunks where the plan says so.
-    async fn line(&mut self, text: &str, kind: Count) -> io::Result<()> {
-        let (tally, side) = (self.discovery.tally.clone(), self.seen.side);
+    async fn line(&mut self, text: &str, kind: Counter) -> io::Result<()> {
+        let (tally, side) = (self.discovery.tally.clone(), self.seen.source);
         let line = [text.as_bytes(), b"\n"].concat();
-        for part in line.chunks(self.discovery.plan.chunk.unwrap_or(line.len())) {
+        for part in line.chunks(self.discovery.plan.chunk_bytes.unwrap_or(line.len())) {
             let head = format!("{:x}\r\n", part.len());
             let bytes = [head.as_bytes(), part, b"\r\n"].concat();
             tally.add(side, bytes_of(kind), bytes.len());
-            self.connection.raw(&bytes).await?;
+            self.connection.write_raw(&bytes).await?;
         }
         Ok(())
     }
 }
 
-fn bytes_of(kind: Count) -> Count {
+fn bytes_of(kind: Counter) -> Counter {
     match kind {
-        Count::WholeLists => Count::BytesOutLists,
-        Count::EmptyLines => Count::BytesOutEmptyLines,
-        _ => Count::BytesOutChanges,
+        Counter::WholeLists => Counter::BytesOutLists,
+        Counter::EmptyLines => Counter::BytesOutEmptyLines,
+        _ => Counter::BytesOutChanges,
     }
 }
 
--- a/stand-ins/src/discovery/counted.rs
+++ b/stand-ins/src/discovery/metrics.rs
@@ -1,10 +1,10 @@
 //! What is counted of discovery. It owns the names; it must never count.
 
-use crate::tally::{Tally, named};
+use crate::metrics::{Metrics, metric_names};
 
-named! {
+metric_names! {
     /// What only grows. Bytes are those of HTTP messages, chunks and all; `in` is toward discovery.
-    Count {
+    Counter {
         Accepted = "connections_accepted",
         ListCalls = "calls.lists",
         WatchCalls = "calls.watches",
@@ -18,9 +18,9 @@
     }
 }
 
-named! {
+metric_names! {
     /// What comes and goes. A call is under way until its list, or a watch's first object, is written.
-    Level {
+    Gauge {
         Connections = "connections_open",
         Calls = "calls",
         Watches = "watches",
@@ -28,4 +28,4 @@
 }
 
 /// The counts of discovery.
-pub type Counts = Tally<Count, Level>;
+pub type DiscoveryMetrics = Metrics<Counter, Gauge>;
--- a/stand-ins/src/hall.rs
+++ b/stand-ins/src/hall.rs
@@ -22,30 +22,30 @@
 
 /// What truly happened.
 #[derive(Default)]
-pub struct Truth {
+pub struct GroundTruth {
     effects: Mutex<HashMap<Key, Vec<String>>>,
     /// Attempts taken.
     pub attempts: AtomicUsize,
     /// Repeats that a hall's memory dropped.
-    pub dropped: AtomicUsize,
+    pub repeats_dropped: AtomicUsize,
     /// Faults injected.
     pub faults: AtomicUsize,
 }
 
-impl Truth {
+impl GroundTruth {
     /// Keys that had their effect more than once.
-    pub fn doubles(&self) -> usize {
+    pub fn duplicated_keys(&self) -> usize {
         self.effects.lock().expect("no holder panics").values().filter(|halls| halls.len() > 1).count()
     }
 
     /// The same, where the effects were in different halls.
-    pub fn doubles_across(&self) -> usize {
+    pub fn keys_duplicated_across_halls(&self) -> usize {
         let across = |halls: &&Vec<String>| halls.iter().any(|hall| *hall != halls[0]);
         self.effects.lock().expect("no holder panics").values().filter(across).count()
     }
 
     /// Keys that had their effect.
-    pub fn ran(&self) -> usize {
+    pub fn executed_keys(&self) -> usize {
         self.effects.lock().expect("no holder panics").len()
     }
 }
@@ -53,7 +53,7 @@
 /// All halls of an installation.
 pub struct Halls {
     /// What truly happened.
-    pub truth: Arc<Truth>,
+    pub ground_truth: Arc<GroundTruth>,
     /// The entries of discovery's list, for each dispatcher.
     pub hosts: Vec<Vec<Value>>,
 }
@@ -71,7 +71,7 @@
         seed: u64,
         dispatchers: &[SocketAddr],
     ) -> std::io::Result<Halls> {
-        let truth = Arc::new(Truth::default());
+        let ground_truth = Arc::new(GroundTruth::default());
         let of_all = Arc::new(Memory::default());
         let mut hosts = vec![Vec::new(); dispatchers.len()];
         let mut random = fastrand::Rng::with_seed(seed);
@@ -89,7 +89,7 @@
                     random: Mutex::new(random.fork()),
                     of_hall: of_hall.clone(),
                     of_all: of_all.clone(),
-                    truth: truth.clone(),
+                    truth: ground_truth.clone(),
                     jobs: Mutex::default(),
                     dispatchers: dispatchers.to_vec(),
                     idle: Mutex::default(),
@@ -104,6 +104,6 @@
                 }
             }
         }
-        Ok(Halls { truth, hosts })
+        Ok(Halls { ground_truth, hosts })
     }
 }
--- a/stand-ins/src/hall/job.rs
+++ b/stand-ins/src/hall/job.rs
@@ -52,7 +52,7 @@
                         break;
                     }
                     Claim::Repeat(mut fate) => {
-                        self.truth.dropped.fetch_add(1, Relaxed);
+                        self.truth.repeats_dropped.fetch_add(1, Relaxed);
                         let ended = async {
                             fate.wait_for(|fate| !matches!(fate, Fate::Running)).await.ok().map(|f| f.clone())
                         };
--- a/stand-ins/src/hall/node.rs
+++ b/stand-ins/src/hall/node.rs
@@ -1,7 +1,7 @@
 //! One pick node: its connections from dispatchers, what is answered to each request, and the faults that are
 //! drawn for it. It owns those answers; it must never run a job itself.
 
-use super::Truth;
+use super::GroundTruth;
 use super::memory::Memory;
 use crate::http::Connection;
 use crate::installation::{Class, Faults};
@@ -24,7 +24,7 @@
     pub(super) random: Mutex<fastrand::Rng>,
     pub(super) of_hall: Arc<Memory>,
     pub(super) of_all: Arc<Memory>,
-    pub(super) truth: Arc<Truth>,
+    pub(super) truth: Arc<GroundTruth>,
     pub(super) jobs: Mutex<HashMap<String, Arc<Notify>>>,
     /// Where call-backs go, and connections to there.
     pub(super) dispatchers: Vec<SocketAddr>,
--- a/stand-ins/src/hollow.rs
+++ b/stand-ins/src/hollow.rs
@@ -7,18 +7,18 @@
 //! a cold one that is flooded stays up, and while a link is cut no try of a call-back is used up.
 
 mod connections;
-pub mod counted;
-pub mod manner;
+pub mod metrics;
+pub mod profile;
 mod runner;
 mod shared;
 pub mod slots;
 mod telling;
 
-pub use crate::link::{Cut, View};
+pub use crate::region_link::{Partition, View};
 
-use crate::link::Link;
-use counted::Counts;
-use manner::Manner;
+use crate::region_link::RegionLink;
+use metrics::RunnerMetrics;
+use profile::Profile;
 use runner::Runner;
 use shared::Shared;
 use std::io;
@@ -33,14 +33,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatcher {
     /// Where call-backs go.
-    pub listen: SocketAddr,
+    pub callback_address: SocketAddr,
     /// Its place among the views.
     pub view: usize,
 }
 
 /// A runner to be.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct RunnerSpec {
     /// Its name in discovery's list.
     pub name: String,
     /// The region that it stands in.
@@ -50,7 +50,7 @@
 }
 
 /// Told of each request that begins to run: its id, and the runner's number.
-pub type Began = Box<dyn Fn(&str, usize) + Send + Sync>;
+pub type OnStart = Box<dyn Fn(&str, usize) + Send + Sync>;
 
 /// All runners.
 pub struct Runners {
@@ -65,18 +65,18 @@
     ///
     /// If an address can't be had.
     pub async fn start(
-        planned: &[Planned],
+        planned: &[RunnerSpec],
         views: &[View],
         dispatchers: &[Dispatcher],
-        manner: Manner,
-        began: Began,
+        manner: Profile,
+        began: OnStart,
     ) -> io::Result<Runners> {
         let shared = Arc::new(Shared {
             manner,
             views: views.to_vec(),
             dispatchers: dispatchers.to_vec(),
-            link: Link::default(),
-            tally: Counts::default(),
+            link: RegionLink::default(),
+            tally: RunnerMetrics::default(),
             began,
             epoch: tokio::time::Instant::now(),
         });
@@ -88,14 +88,14 @@
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(SWEEP).await;
-                swept.iter().for_each(|runner| runner.sweep(rest.manner.rest));
+                swept.iter().for_each(|runner| runner.sweep(rest.manner.callback_idle_timeout));
             }
         });
         Ok(Runners { all, shared })
     }
 
     /// Where they listen, by runner and view.
-    pub fn dial(&self) -> Vec<Vec<SocketAddr>> {
+    pub fn addresses(&self) -> Vec<Vec<SocketAddr>> {
         self.all.iter().map(|runner| runner.dial().to_vec()).collect()
     }
 
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// If there is no such runner, or if its address was lost to another process.
-    pub async fn down(&self, runners: &[usize]) -> io::Result<()> {
+    pub async fn crash(&self, runners: &[usize]) -> io::Result<()> {
         for runner in self.chosen(runners)? {
             runner.down().await?;
         }
@@ -116,17 +116,17 @@
     /// # Errors
     ///
     /// If there is no such runner, or if it can't listen.
-    pub fn up(&self, runners: &[usize]) -> io::Result<()> {
+    pub fn restart(&self, runners: &[usize]) -> io::Result<()> {
         self.chosen(runners)?.into_iter().try_for_each(|runner| runner.up())
     }
 
     /// Cuts the link between regions, or makes it whole.
-    pub fn link(&self, cut: Option<Cut>) {
+    pub fn set_partition(&self, cut: Option<Partition>) {
         self.shared.link.set(cut);
     }
 
     /// What was counted.
-    pub fn tally(&self) -> &Counts {
+    pub fn metrics(&self) -> &RunnerMetrics {
         &self.shared.tally
     }
 
--- a/stand-ins/src/hollow/connections.rs
+++ b/stand-ins/src/hollow/connections.rs
@@ -1,10 +1,10 @@
 //! Connections from dispatchers to a hollow runner: requests, give-ups, probes, and what is answered to them. It
 //! owns the reading and the answers, and the silence of a cut link; it must never decide when a request runs.
 
-use super::counted::{Count, Level};
+use super::metrics::{Counter, Gauge};
 use super::runner::{Life, Runner};
 use crate::http::{Connection, Message};
-use crate::link::Cut;
+use crate::region_link::Partition;
 use serde::Deserialize;
 use std::io;
 use std::sync::Arc;
@@ -20,13 +20,13 @@
 struct Answer {
     bytes: Vec<u8>,
     /// What its bytes count as.
-    kind: Count,
+    kind: Counter,
     /// The request that it takes, by its number here: it is given up if the connection ends before.
     job: Option<u64>,
 }
 
 impl Answer {
-    fn new(kind: Count, status: &str, body: &str) -> Answer {
+    fn new(kind: Counter, status: &str, body: &str) -> Answer {
         let bytes = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         Answer { bytes: bytes.into_bytes(), kind, job: None }
     }
@@ -34,17 +34,17 @@
 
 /// Serves a connection to its end or the runner's.
 pub async fn serve(runner: Arc<Runner>, view: usize, stream: TcpStream, mut life: Life) {
-    let side = runner.shared.views[view].side;
+    let side = runner.shared.views[view].source;
     let tally = &runner.shared.tally;
-    tally.add(side, Count::Accepted, 1);
-    tally.up(side, Level::Connections);
+    tally.add(side, Counter::Accepted, 1);
+    tally.increment(side, Gauge::Connections);
     let mut connection = Connection::new(stream);
     let reset = tokio::select! {
         biased;
         _ = life.changed() => true,
         reset = converse(&runner, view, &mut connection) => matches!(reset, Ok(true)),
     };
-    tally.down(side, Level::Connections);
+    tally.decrement(side, Gauge::Connections);
     if reset {
         connection.reset();
     }
@@ -53,26 +53,26 @@
 /// Whether it is to end by a reset.
 async fn converse(runner: &Arc<Runner>, view: usize, connection: &mut Connection) -> io::Result<bool> {
     let shared = &runner.shared;
-    let (region, side) = (shared.views[view].region, shared.views[view].side);
+    let (region, side) = (shared.views[view].region, shared.views[view].source);
     let (link, tally) = (&shared.link, &shared.tally);
-    let cut = || link.cut(region, runner.region);
-    let whole = || link.whole(region, runner.region);
-    if cut() == Some(Cut::Both) {
+    let cut = || link.partition(region, runner.region);
+    let whole = || link.wait_restored(region, runner.region);
+    if cut() == Some(Partition::BothDirections) {
         // It never came up; once the machine is back it is reset.
         whole().await;
         return Ok(true);
     }
     loop {
-        let Ok(read) = tokio::time::timeout(shared.manner.idle, connection.read()).await else {
+        let Ok(read) = tokio::time::timeout(shared.manner.idle_timeout, connection.read()).await else {
             whole().await;
-            tally.add(side, Count::IdleClosed, 1);
+            tally.add(side, Counter::IdleClosed, 1);
             return Ok(false);
         };
         let Some(message) = read? else { return Ok(false) };
-        if cut() == Some(Cut::Both) {
+        if cut() == Some(Partition::BothDirections) {
             whole().await;
             // What was given up meanwhile has not begun.
-            if connection.ended() {
+            if connection.is_closed() {
                 return Ok(false);
             }
         }
@@ -80,7 +80,7 @@
         if cut().is_some() {
             tokio::select! {
                 () = whole() => {}
-                () = connection.end() => {
+                () = connection.closed() => {
                     if let Some(job) = answer.job {
                         runner.give_up(side, message.header("x-request-id"), Some(job));
                     }
@@ -89,7 +89,7 @@
             }
         }
         tally.add(side, answer.kind, answer.bytes.len());
-        connection.raw(&answer.bytes).await?;
+        connection.write_raw(&answer.bytes).await?;
         if message.header("connection").eq_ignore_ascii_case("close") {
             return Ok(false);
         }
@@ -97,61 +97,61 @@
 }
 
 fn answer(runner: &Arc<Runner>, view: usize, message: &Message) -> Answer {
-    let (shared, side) = (&runner.shared, runner.shared.views[view].side);
+    let (shared, side) = (&runner.shared, runner.shared.views[view].source);
     let tally = &shared.tally;
     let path = message.target.split('?').next().unwrap_or("");
-    let (manner, probing) = (&shared.manner, shared.manner.probing);
+    let (manner, probing) = (&shared.manner, shared.manner.answers_probes);
     let probe = |body: &str| {
-        tally.add(side, Count::Probes, 1);
-        tally.add(side, Count::BytesInProbes, message.bytes);
-        Answer::new(Count::BytesOutProbes, if probing { "200 OK" } else { "404 Not Found" }, body)
+        tally.add(side, Counter::Probes, 1);
+        tally.add(side, Counter::BytesInProbes, message.wire_bytes);
+        Answer::new(Counter::BytesOutProbes, if probing { "200 OK" } else { "404 Not Found" }, body)
     };
     match (message.method.as_str(), path) {
         ("DELETE", path) if path.starts_with("/jobs/") => {
-            tally.add(side, Count::GiveUps, 1);
-            tally.add(side, Count::BytesInGiveUps, message.bytes);
+            tally.add(side, Counter::GiveUps, 1);
+            tally.add(side, Counter::BytesInGiveUps, message.wire_bytes);
             runner.give_up(side, &path["/jobs/".len()..], None);
-            Answer::new(Count::BytesOutGiveUps, "200 OK", "")
+            Answer::new(Counter::BytesOutGiveUps, "200 OK", "")
         }
         ("GET", "/alive") => probe(""),
         ("GET", "/metrics/load") => match probing && manner.reports.1 {
             true => {
                 let report = manner.report(&runner.load()).to_string();
-                tally.add(side, Count::BytesOutReports, report.len());
+                tally.add(side, Counter::BytesOutReports, report.len());
                 probe(&report)
             }
             false => probe(""),
         },
         ("POST", _) => request(runner, view, message),
         _ => {
-            tally.add(side, Count::Answers404, 1);
-            Answer::new(Count::BytesOutRequests, "404 Not Found", "")
+            tally.add(side, Counter::Answers404, 1);
+            Answer::new(Counter::BytesOutRequests, "404 Not Found", "")
         }
     }
 }
 
 /// Takes a request, if it is one: of a form that a client has sent, and from the dispatcher that its id names.
 fn request(runner: &Arc<Runner>, view: usize, message: &Message) -> Answer {
-    let (shared, side) = (&runner.shared, runner.shared.views[view].side);
+    let (shared, side) = (&runner.shared, runner.shared.views[view].source);
     let tally = &shared.tally;
-    tally.add(side, Count::Requests, 1);
-    tally.add(side, Count::BytesInRequests, message.bytes);
+    tally.add(side, Counter::Requests, 1);
+    tally.add(side, Counter::BytesInRequests, message.wire_bytes);
     let id = message.header("x-request-id");
     if id.is_empty() || !message.target.starts_with("/api") {
-        tally.add(side, Count::Answers404, 1);
-        return Answer::new(Count::BytesOutRequests, "404 Not Found", "");
+        tally.add(side, Counter::Answers404, 1);
+        return Answer::new(Counter::BytesOutRequests, "404 Not Found", "");
     }
     let own = shared.dispatcher(id).is_some_and(|number| shared.dispatchers[number].view == view);
     let work = serde_json::from_str::<Work>(&message.body);
     let Some(work) = work.ok().filter(|_| own) else {
-        tally.add(side, Count::Answers400, 1);
-        return Answer::new(Count::BytesOutRequests, "400 Bad Request", "");
+        tally.add(side, Counter::Answers400, 1);
+        return Answer::new(Counter::BytesOutRequests, "400 Bad Request", "");
     };
     if runner.holds(id) {
         // Perhaps sent again by a library: it runs, as on the platform, and is seen.
-        tally.add(side, Count::Copies, 1);
+        tally.add(side, Counter::Copies, 1);
     }
     let job = runner.take(side, id, work.work_us);
-    tally.add(side, Count::Answers202, 1);
-    Answer { job: Some(job), ..Answer::new(Count::BytesOutRequests, "202 Accepted", "") }
+    tally.add(side, Counter::Answers202, 1);
+    Answer { job: Some(job), ..Answer::new(Counter::BytesOutRequests, "202 Accepted", "") }
 }
--- a/stand-ins/src/hollow/counted.rs
+++ b/stand-ins/src/hollow/metrics.rs
@@ -1,10 +1,10 @@
 //! What is counted of hollow runners. It owns the names; it must never count.
 
-use crate::tally::{Tally, named};
+use crate::metrics::{Metrics, metric_names};
 
-named! {
+metric_names! {
     /// What only grows. Bytes are those of HTTP messages; `in` is toward the runners.
-    Count {
+    Counter {
         Requests = "requests",
         Answers202 = "answers_202",
         Answers400 = "answers_400",
@@ -35,9 +35,9 @@
     }
 }
 
-named! {
+metric_names! {
     /// What comes and goes.
-    Level {
+    Gauge {
         Running = "running",
         Queued = "queued",
         Connections = "connections_open",
@@ -46,4 +46,4 @@
 }
 
 /// The counts of runners.
-pub type Counts = Tally<Count, Level>;
+pub type RunnerMetrics = Metrics<Counter, Gauge>;
--- a/stand-ins/src/hollow/runner.rs
+++ b/stand-ins/src/hollow/runner.rs
@@ -2,12 +2,12 @@
 //! the timers of what runs and the order in which a machine vanishes; it must never decide what runs when, nor
 //! read or write a connection.
 
-use super::counted::{Count, Level};
+use super::metrics::{Counter, Gauge};
 use super::shared::Shared;
-use super::slots::{GivenUp, Load, Slots, Start};
+use super::slots::{CancelOutcome, Load, Slots, StartedJob};
 use super::telling::Resting;
-use super::{Planned, connections};
-use crate::tally::Side;
+use super::{RunnerSpec, connections};
+use crate::metrics::TrafficSource;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -59,7 +59,7 @@
 
 impl Runner {
     /// Starts one, warm.
-    pub async fn start(number: usize, planned: &Planned, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
+    pub async fn start(number: usize, planned: &RunnerSpec, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let sockets = shared.views.iter().map(|_| socket(any)).collect::<io::Result<Vec<_>>>()?;
         let dial = sockets.iter().map(TcpSocket::local_addr).collect::<io::Result<_>>()?;
@@ -69,7 +69,7 @@
             region: planned.region,
             resting: Mutex::default(),
             dial,
-            slots: Mutex::new(Slots::new(planned.slots, shared.manner.warming)),
+            slots: Mutex::new(Slots::new(planned.slots, shared.manner.slow_start)),
             standing: Mutex::new(Standing::Down(sockets)),
             shared,
         });
@@ -109,7 +109,7 @@
     /// It starts again, cold and empty.
     pub fn up(self: &Arc<Self>) -> io::Result<()> {
         if matches!(*held(&self.standing), Standing::Down(_)) {
-            held(&self.slots).restart(self.shared.now_us());
+            held(&self.slots).start_cold(self.shared.now_us());
         }
         self.listen()
     }
@@ -134,14 +134,14 @@
         life.closed().await;
         let shared = &self.shared;
         for resting in held(&self.resting).drain(..) {
-            shared.tally.down(shared.side(resting.dispatcher), Level::Resting);
+            shared.tally.decrement(shared.side(resting.dispatcher), Gauge::Resting);
             resting.connection.reset();
         }
-        for (id, ran) in held(&self.slots).lose() {
+        for (id, ran) in held(&self.slots).drop_all() {
             if let Some(dispatcher) = shared.dispatcher(&id) {
                 let side = shared.side(dispatcher);
-                shared.tally.add(side, Count::Lost, 1);
-                shared.tally.down(side, if ran { Level::Running } else { Level::Queued });
+                shared.tally.add(side, Counter::Lost, 1);
+                shared.tally.decrement(side, if ran { Gauge::Running } else { Gauge::Queued });
             }
         }
         *held(&self.standing) = Standing::Down(sockets);
@@ -149,47 +149,47 @@
     }
 
     /// Takes a request of a dispatcher on this side: the number that it has here.
-    pub fn take(self: &Arc<Self>, side: Side, id: &str, work_us: u64) -> u64 {
-        self.shared.tally.up(side, Level::Queued);
-        let (job, start) = held(&self.slots).take(self.shared.now_us(), id, work_us);
+    pub fn take(self: &Arc<Self>, side: TrafficSource, id: &str, work_us: u64) -> u64 {
+        self.shared.tally.increment(side, Gauge::Queued);
+        let (job, start) = held(&self.slots).accept(self.shared.now_us(), id, work_us);
         self.begin(start);
         job
     }
 
     /// A request is given up, by its id or, before it was answered, by its number here.
-    pub fn give_up(&self, side: Side, id: &str, job: Option<u64>) {
+    pub fn give_up(&self, side: TrafficSource, id: &str, job: Option<u64>) {
         let given_up = match job {
-            Some(job) => held(&self.slots).withdraw(job),
-            None => held(&self.slots).give_up(id),
+            Some(job) => held(&self.slots).cancel(job),
+            None => held(&self.slots).cancel_newest(id),
         };
         match given_up {
-            GivenUp::Waiting => {
-                self.shared.tally.down(side, Level::Queued);
-                self.shared.tally.add(side, Count::GivenUpWaiting, 1);
+            CancelOutcome::Queued => {
+                self.shared.tally.decrement(side, Gauge::Queued);
+                self.shared.tally.add(side, Counter::GivenUpWaiting, 1);
             }
-            GivenUp::Running => self.shared.tally.add(side, Count::GivenUpRunning, 1),
-            GivenUp::Unknown => {}
+            CancelOutcome::Running => self.shared.tally.add(side, Counter::GivenUpRunning, 1),
+            CancelOutcome::Unknown => {}
         }
     }
 
     /// Whether a request of this id is here and wanted.
     pub fn holds(&self, id: &str) -> bool {
-        held(&self.slots).wants(id)
+        held(&self.slots).is_wanted(id)
     }
 
     pub fn load(&self) -> Load {
         held(&self.slots).load()
     }
 
-    fn begin(self: &Arc<Self>, start: Option<Start>) {
+    fn begin(self: &Arc<Self>, start: Option<StartedJob>) {
         let Some(start) = start else { return };
         let Some(dispatcher) = self.shared.dispatcher(&start.id) else { return };
         let (side, tally) = (self.shared.side(dispatcher), &self.shared.tally);
-        tally.down(side, Level::Queued);
-        tally.up(side, Level::Running);
+        tally.decrement(side, Gauge::Queued);
+        tally.increment(side, Gauge::Running);
         // One that just vanished begins nothing: it is lost with the rest.
         let Standing::Up { life, .. } = &*held(&self.standing) else { return };
-        tally.add(side, Count::Started, 1);
+        tally.add(side, Counter::Started, 1);
         (self.shared.began)(&start.id, self.number);
         let mut life = life.subscribe();
         let runner = self.clone();
@@ -202,21 +202,21 @@
         });
     }
 
-    async fn run(self: &Arc<Self>, dispatcher: usize, start: Start) {
+    async fn run(self: &Arc<Self>, dispatcher: usize, start: StartedJob) {
         let (side, tally) = (self.shared.side(dispatcher), &self.shared.tally);
         // Its slot is free at its end, however long its dispatcher is deaf.
         let work = async {
             tokio::time::sleep_until(self.shared.epoch + Duration::from_micros(start.ends_us)).await;
-            let ended = held(&self.slots).end(self.shared.now_us(), start.job);
-            tally.down(side, Level::Running);
-            tally.add(side, Count::Ended, 1);
+            let ended = held(&self.slots).finish(self.shared.now_us(), start.job);
+            tally.decrement(side, Gauge::Running);
+            tally.add(side, Counter::Ended, 1);
             ended.is_some_and(|ended| {
                 self.begin(ended.next);
                 ended.wanted
             })
         };
         let told = async {
-            if self.shared.manner.tells_start {
+            if self.shared.manner.reports_start {
                 self.tell(dispatcher, &start.id, "started").await;
             }
         };
--- a/stand-ins/src/hollow/shared.rs
+++ b/stand-ins/src/hollow/shared.rs
@@ -1,21 +1,21 @@
 //! What all hollow runners of a process have in common. It owns the meaning of a request's id; it must never hold
 //! anything that is one runner's.
 
-use super::counted::Counts;
-use super::manner::Manner;
-use super::{Began, Dispatcher, View};
-use crate::link::Link;
-use crate::tally::Side;
+use super::metrics::RunnerMetrics;
+use super::profile::Profile;
+use super::{Dispatcher, OnStart, View};
+use crate::metrics::TrafficSource;
+use crate::region_link::RegionLink;
 use tokio::time::Instant;
 
 /// What all runners have in common.
 pub struct Shared {
-    pub manner: Manner,
+    pub manner: Profile,
     pub views: Vec<View>,
     pub dispatchers: Vec<Dispatcher>,
-    pub link: Link,
-    pub tally: Counts,
-    pub began: Began,
+    pub link: RegionLink,
+    pub tally: RunnerMetrics,
+    pub began: OnStart,
     /// Times of slots count from here.
     pub epoch: Instant,
 }
@@ -34,8 +34,8 @@
     }
 
     /// The side of a dispatcher.
-    pub fn side(&self, dispatcher: usize) -> Side {
-        self.view(dispatcher).side
+    pub fn side(&self, dispatcher: usize) -> TrafficSource {
+        self.view(dispatcher).source
     }
 
     pub fn now_us(&self) -> u64 {
--- a/stand-ins/src/hollow/slots.rs
+++ b/stand-ins/src/hollow/slots.rs
@@ -6,24 +6,24 @@
 
 /// How a cold runner gets warm: its speed grows evenly from a share of its full one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Warming {
+pub struct SlowStart {
     /// The share that it begins with.
-    pub from: f64,
+    pub initial_speed: f64,
     /// It is warm after this, in microseconds.
-    pub after_us: u64,
+    pub duration_us: u64,
 }
 
-impl Warming {
+impl SlowStart {
     /// How long work takes that takes `work_us` at full speed and begins `age_us` after the cold start: the time
     /// over which the speed adds up to the work.
-    pub fn time_for(&self, age_us: u64, work_us: u64) -> u64 {
-        if age_us >= self.after_us || self.from >= 1.0 {
+    pub fn running_time_us(&self, age_us: u64, work_us: u64) -> u64 {
+        if age_us >= self.duration_us || self.initial_speed >= 1.0 {
             return work_us;
         }
-        let from = self.from.max(0.0);
-        let (work, growth) = (work_us as f64, (1.0 - from) / self.after_us as f64);
+        let from = self.initial_speed.max(0.0);
+        let (work, growth) = (work_us as f64, (1.0 - from) / self.duration_us as f64);
         let speed = from + growth * age_us as f64;
-        let left = (self.after_us - age_us) as f64;
+        let left = (self.duration_us - age_us) as f64;
         let done = speed * left + growth * left * left / 2.0;
         let time = match work > done {
             true => left + (work - done),
@@ -35,7 +35,7 @@
 
 /// A request that begins to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct StartedJob {
     /// The number that it has here.
     pub job: u64,
     /// Its id.
@@ -46,18 +46,18 @@
 
 /// A request that has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct FinishedJob {
     /// Whether somebody waits for it still.
     pub wanted: bool,
     /// The one that has its slot now.
-    pub next: Option<Start>,
+    pub next: Option<StartedJob>,
 }
 
 /// What giving up has met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GivenUp {
+pub enum CancelOutcome {
     /// It never runs.
-    Waiting,
+    Queued,
     /// It goes on to its end, and is not told.
     Running,
     /// There is no such request.
@@ -72,9 +72,9 @@
     /// Those that do.
     pub running: u32,
     /// Those in the queue.
-    pub waiting: u32,
+    pub queued: u32,
     /// Running time of late, in microseconds.
-    pub recent_us: f64,
+    pub mean_running_us: f64,
 }
 
 struct Job {
@@ -89,7 +89,7 @@
 
 /// The slots of a runner.
 pub struct Slots {
-    warming: Warming,
+    warming: SlowStart,
     /// When it started cold, if it did.
     born_us: Option<u64>,
     waiting: VecDeque<u64>,
@@ -102,7 +102,7 @@
 
 impl Slots {
     /// A warm runner with so many.
-    pub fn new(slots: u32, warming: Warming) -> Slots {
+    pub fn new(slots: u32, warming: SlowStart) -> Slots {
         Slots {
             warming,
             born_us: None,
@@ -115,69 +115,69 @@
     }
 
     /// Takes a request: the number that it has here, and its start if a slot is free.
-    pub fn take(&mut self, now_us: u64, id: &str, work_us: u64) -> (u64, Option<Start>) {
+    pub fn accept(&mut self, now_us: u64, id: &str, work_us: u64) -> (u64, Option<StartedJob>) {
         let job = self.next;
         self.next += 1;
         self.by_id.insert(id.to_owned(), job);
         self.jobs.insert(job, Job { id: id.to_owned(), work_us, started_us: None, wanted: true });
         self.waiting.push_back(job);
-        self.load.waiting += 1;
+        self.load.queued += 1;
         (job, self.begin(now_us))
     }
 
     /// The head of the queue gets a slot, if there are both.
-    fn begin(&mut self, now_us: u64) -> Option<Start> {
+    fn begin(&mut self, now_us: u64) -> Option<StartedJob> {
         if self.load.running >= self.load.slots {
             return None;
         }
         let number = self.waiting.pop_front()?;
         let job = self.jobs.get_mut(&number)?;
         job.started_us = Some(now_us);
-        self.load.waiting -= 1;
+        self.load.queued -= 1;
         self.load.running += 1;
         let time = match self.born_us {
-            Some(born) => self.warming.time_for(now_us.saturating_sub(born), job.work_us),
+            Some(born) => self.warming.running_time_us(now_us.saturating_sub(born), job.work_us),
             None => job.work_us,
         };
-        Some(Start { job: number, id: job.id.clone(), ends_us: now_us.saturating_add(time) })
+        Some(StartedJob { job: number, id: job.id.clone(), ends_us: now_us.saturating_add(time) })
     }
 
     /// A request has run; none if it is of before a loss.
-    pub fn end(&mut self, now_us: u64, job: u64) -> Option<Ended> {
+    pub fn finish(&mut self, now_us: u64, job: u64) -> Option<FinishedJob> {
         let ended = self.forget(job)?;
         self.load.running -= 1;
         let time = now_us.saturating_sub(ended.started_us.unwrap_or(now_us)) as f64;
-        self.load.recent_us = match self.load.recent_us {
+        self.load.mean_running_us = match self.load.mean_running_us {
             0.0 => time,
             before => before + NEWEST * (time - before),
         };
-        Some(Ended { wanted: ended.wanted, next: self.begin(now_us) })
+        Some(FinishedJob { wanted: ended.wanted, next: self.begin(now_us) })
     }
 
     /// The newest request of an id is given up.
-    pub fn give_up(&mut self, id: &str) -> GivenUp {
-        self.by_id.get(id).copied().map_or(GivenUp::Unknown, |job| self.withdraw(job))
+    pub fn cancel_newest(&mut self, id: &str) -> CancelOutcome {
+        self.by_id.get(id).copied().map_or(CancelOutcome::Unknown, |job| self.cancel(job))
     }
 
     /// A request is given up.
-    pub fn withdraw(&mut self, job: u64) -> GivenUp {
+    pub fn cancel(&mut self, job: u64) -> CancelOutcome {
         match self.jobs.get_mut(&job) {
-            None => GivenUp::Unknown,
+            None => CancelOutcome::Unknown,
             Some(running) if running.started_us.is_some() => {
                 running.wanted = false;
-                GivenUp::Running
+                CancelOutcome::Running
             }
             Some(_) => {
                 self.forget(job);
                 self.waiting.retain(|waiting| *waiting != job);
-                self.load.waiting -= 1;
-                GivenUp::Waiting
+                self.load.queued -= 1;
+                CancelOutcome::Queued
             }
         }
     }
 
     /// Whether the newest request of this id is here and has not been given up.
-    pub fn wants(&self, id: &str) -> bool {
+    pub fn is_wanted(&self, id: &str) -> bool {
         self.by_id.get(id).and_then(|job| self.jobs.get(job)).is_some_and(|job| job.wanted)
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// All is lost: the ids of what was here, and whether it ran. Numbers are not given again.
-    pub fn lose(&mut self) -> Vec<(String, bool)> {
+    pub fn drop_all(&mut self) -> Vec<(String, bool)> {
         self.waiting.clear();
         self.by_id.clear();
         self.load = Load { slots: self.load.slots, ..Load::default() };
@@ -198,7 +198,7 @@
     }
 
     /// It starts cold.
-    pub fn restart(&mut self, now_us: u64) {
+    pub fn start_cold(&mut self, now_us: u64) {
         self.born_us = Some(now_us);
     }
 
--- a/stand-ins/src/hollow/telling.rs
+++ b/stand-ins/src/hollow/telling.rs
@@ -1,7 +1,7 @@
 //! Call-backs of a hollow runner, and the connections that it keeps for them. It owns the tries of each until it
 //! is answered; it must never tell of a request on its own account, nor let a try pass a link that is cut.
 
-use super::counted::{Count, Level};
+use super::metrics::{Counter, Gauge};
 use super::runner::Runner;
 use crate::http::Connection;
 use serde_json::json;
@@ -36,15 +36,15 @@
             }
         }
         let body = body.to_string();
-        shared.tally.add(side, Count::CallBacks, 1);
+        shared.tally.add(side, Counter::CallBacks, 1);
         let mut tries = 0;
         while tries < TRIES {
-            shared.link.whole(region, self.region).await;
-            shared.tally.add(side, Count::CallBackTries, 1);
-            shared.tally.add(side, Count::BytesOutReports, reported);
+            shared.link.wait_restored(region, self.region).await;
+            shared.tally.add(side, Counter::CallBackTries, 1);
+            shared.tally.add(side, Counter::BytesOutReports, reported);
             let exchange = self.exchange(dispatcher, body.as_bytes());
-            let answered = tokio::time::timeout(shared.manner.answer, exchange).await;
-            if shared.link.cut(region, self.region).is_some() {
+            let answered = tokio::time::timeout(shared.manner.callback_timeout, exchange).await;
+            if shared.link.partition(region, self.region).is_some() {
                 // Whatever came back can't have passed.
                 continue;
             }
@@ -52,9 +52,9 @@
                 return;
             }
             tries += 1;
-            tokio::time::sleep(shared.manner.pause).await;
+            tokio::time::sleep(shared.manner.callback_retry_pause).await;
         }
-        shared.tally.add(side, Count::CallBacksUnheard, 1);
+        shared.tally.add(side, Counter::CallBacksUnheard, 1);
     }
 
     async fn exchange(&self, dispatcher: usize, body: &[u8]) -> io::Result<u16> {
@@ -62,21 +62,21 @@
         let mut connection = match self.rested(dispatcher) {
             Some(connection) => connection,
             None => {
-                let at = shared.dispatchers[dispatcher].listen;
-                let opened = Connection::open(at, shared.manner.connect).await?;
-                shared.tally.add(side, Count::Opened, 1);
+                let at = shared.dispatchers[dispatcher].callback_address;
+                let opened = Connection::open(at, shared.manner.connect_timeout).await?;
+                shared.tally.add(side, Counter::Opened, 1);
                 opened
             }
         };
         let head = "POST /v1/job-events HTTP/1.1\r\nHost: dispatcher\r\nContent-Type: application/json";
         let mut message = format!("{head}\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         message.extend_from_slice(body);
-        shared.tally.add(side, Count::BytesOutCallBacks, message.len());
-        connection.raw(&message).await?;
+        shared.tally.add(side, Counter::BytesOutCallBacks, message.len());
+        connection.write_raw(&message).await?;
         let answer = connection.read().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-        shared.tally.add(side, Count::BytesInCallBacks, answer.bytes);
+        shared.tally.add(side, Counter::BytesInCallBacks, answer.wire_bytes);
         if !answer.header("connection").eq_ignore_ascii_case("close") {
-            shared.tally.up(side, Level::Resting);
+            shared.tally.increment(side, Gauge::Resting);
             let mut resting = self.resting.lock().expect("no holder panics");
             resting.push(Resting { dispatcher, connection, since: Instant::now() });
         }
@@ -88,8 +88,8 @@
         let mut resting = self.resting.lock().expect("no holder panics");
         while let Some(place) = resting.iter().rposition(|resting| resting.dispatcher == dispatcher) {
             let mut found = resting.remove(place);
-            self.shared.tally.down(self.shared.side(dispatcher), Level::Resting);
-            if !found.connection.ended() {
+            self.shared.tally.decrement(self.shared.side(dispatcher), Gauge::Resting);
+            if !found.connection.is_closed() {
                 return Some(found.connection);
             }
         }
@@ -103,10 +103,10 @@
         let mut resting = self.resting.lock().expect("no holder panics");
         resting.retain_mut(|resting| {
             let region = shared.view(resting.dispatcher).region;
-            let cut = shared.link.cut(region, self.region).is_some();
-            let keep = cut || resting.since.elapsed() < rest && !resting.connection.ended();
+            let cut = shared.link.partition(region, self.region).is_some();
+            let keep = cut || resting.since.elapsed() < rest && !resting.connection.is_closed();
             if !keep {
-                shared.tally.down(shared.side(resting.dispatcher), Level::Resting);
+                shared.tally.decrement(shared.side(resting.dispatcher), Gauge::Resting);
             }
             keep
         });
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -27,7 +27,7 @@
     /// The body; what is no UTF-8 in it is replaced.
     pub body: String,
     /// The bytes that it took on the wire.
-    pub bytes: usize,
+    pub wire_bytes: usize,
 }
 
 impl Message {
@@ -90,7 +90,7 @@
     }
 
     /// Whether the other side has ended it. What it has written before is kept for the next [`Self::read`].
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         loop {
             self.buffer.reserve(ROOM);
             match self.stream.try_read_buf(&mut self.buffer) {
@@ -102,8 +102,8 @@
     }
 
     /// Returns once the other side has ended it.
-    pub async fn end(&mut self) {
-        while self.stream.readable().await.is_ok() && !self.ended() {}
+    pub async fn closed(&mut self) {
+        while self.stream.readable().await.is_ok() && !self.is_closed() {}
     }
 
     /// Ends it as a machine does that vanishes: by a reset.
@@ -112,7 +112,7 @@
     }
 
     /// The next line of a stream in chunks, without its end. Heads of chunks are lines too.
-    pub async fn line(&mut self) -> io::Result<String> {
+    pub async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
@@ -133,7 +133,7 @@
     }
 
     /// Writes bytes as they are.
-    pub async fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub async fn write_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 }
@@ -173,7 +173,7 @@
 }
 
 /// One blocking exchange on a connection of its own; `None` if there was no whole answer.
-pub fn exchange(to: SocketAddr, head: &str, body: &str) -> Option<Message> {
+pub fn call_blocking(to: SocketAddr, head: &str, body: &str) -> Option<Message> {
     let mut stream = std::net::TcpStream::connect(to).ok()?;
     write!(stream, "{head}\r\nHost: t\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
     read_message(&mut io::BufReader::new(stream))
@@ -201,6 +201,6 @@
     let length: usize = message.header("content-length").parse().unwrap_or(0);
     let Some(body) = bytes.get(head..head + length) else { return Ok(None) };
     message.body = text(body);
-    message.bytes = head + length;
+    message.wire_bytes = head + length;
     Ok(Some((message, head + length)))
 }
--- a/stand-ins/src/program.rs
+++ b/stand-ins/src/program.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// Says how to build it.
-pub fn program() -> Result<PathBuf, String> {
+pub fn program_path() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     // Tests stand one folder below.
     let beside = own.with_file_name("sablerun");
@@ -40,7 +40,7 @@
 }
 
 /// The settings of one dispatcher in a zone, with these classes.
-pub fn settings_of(classes: &[Class], halls: &[&str], zone: &str) -> Value {
+pub fn settings_for(classes: &[Class], halls: &[&str], zone: &str) -> Value {
     let services: Vec<_> = classes.iter().map(service).collect();
     let stretch = vec![2.0; services.len()];
     json!({
--- a/stand-ins/src/scripted.rs
+++ b/stand-ins/src/scripted.rs
@@ -11,21 +11,21 @@
 mod runner;
 
 pub use events::Events;
-pub use faktory::{Caller, job, worker};
-pub use program::{GATEWAY, Program, folder, settings};
+pub use faktory::{FaktoryConnection, job, worker};
+pub use program::{GATEWAY_CONFIG, Program, settings, test_dir};
 pub use runner::{Discovery, Runner, host};
 
-use crate::http::{Message, exchange};
+use crate::http::{Message, call_blocking};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 /// Longest that any wait for an event may take before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One exchange on a connection of its own.
 pub fn call(at: SocketAddr, head: &str, body: &str) -> Message {
-    exchange(at, head, body).expect("an answer")
+    call_blocking(at, head, body).expect("an answer")
 }
 
 fn word_of(text: &str) -> &'static str {
@@ -34,7 +34,7 @@
 }
 
 /// A client's request on the platform's front.
-pub fn api(class: &str, id: &str, timeout: &str, more: &str) -> String {
+pub fn api_request(class: &str, id: &str, timeout: &str, more: &str) -> String {
     format!(
         "POST /api?sid=7f3a HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
          X-Tenant-Id: mehran-dist\r\nX-Timeout: {timeout}\r\nIdempotency-Key: key-{id}{more}"
--- a/stand-ins/src/scripted/events.rs
+++ b/stand-ins/src/scripted/events.rs
@@ -1,6 +1,6 @@
 //! Things that happened, for a test to wait on. It owns the waiting; it must never wait for a time to pass.
 
-use super::PATIENCE;
+use super::EVENT_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex};
 
 /// Things that happened, for a test to wait on.
@@ -28,7 +28,7 @@
         let (all, _) = self
             .0
             .1
-            .wait_timeout_while(self.0.0.lock().unwrap(), PATIENCE, |all| found(all).is_none())
+            .wait_timeout_while(self.0.0.lock().unwrap(), EVENT_TIMEOUT, |all| found(all).is_none())
             .unwrap();
         found(&all).unwrap_or_else(|| panic!("no {part:?} x{times} among {all:#?}"))
     }
--- a/stand-ins/src/scripted/program.rs
+++ b/stand-ins/src/scripted/program.rs
@@ -2,7 +2,7 @@
 
 use super::{Discovery, Events};
 use crate::installation::{Class, Group};
-use crate::program::{program, settings_of};
+use crate::program::{program_path, settings_for};
 use command_fds::{CommandFdExt, FdMapping};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -31,7 +31,7 @@
         class("wave-release", 10.0, 6000, Some(Group::Zone), 10_000),
         class("short-pick", 3.0, 6000, Some(Group::All), 10_000),
     ];
-    let mut settings = settings_of(&classes, &["hall-a", "hall-b", "hall-c"], "hall-a");
+    let mut settings = settings_for(&classes, &["hall-a", "hall-b", "hall-c"], "hall-a");
     for project in settings["projects"].as_array_mut().into_iter().flatten() {
         project["quotaPerS"] = json!(5000.0);
     }
@@ -40,7 +40,7 @@
 }
 
 /// The operator's file of most tests.
-pub const GATEWAY: &str = r#"
+pub const GATEWAY_CONFIG: &str = r#"
 listen = "127.0.0.1:0"
 plaintext = true
 member = "ravi-supply"
@@ -63,7 +63,7 @@
 "#;
 
 /// A folder for one test's files.
-pub fn folder() -> PathBuf {
+pub fn test_dir() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let own = std::env::current_exe().unwrap();
@@ -75,19 +75,19 @@
 /// The program, started.
 pub struct Program {
     pub child: Child,
-    pub at: SocketAddr,
-    pub faktory: Option<SocketAddr>,
+    pub address: SocketAddr,
+    pub faktory_address: Option<SocketAddr>,
     pub log: Events,
     /// The file of its configuration, and its `$TMPDIR`.
     pub config: PathBuf,
-    pub folder: PathBuf,
+    pub temp_dir: PathBuf,
 }
 
 impl Program {
     pub fn command(config: &Value, gateway: Option<&str>) -> Command {
-        let folder = folder();
+        let folder = test_dir();
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
-        let mut command = Command::new(program().unwrap());
+        let mut command = Command::new(program_path().unwrap());
         command.env("NODE_CONFIG", folder.join("config.json")).env("RUST_LOG", "debug");
         // Private, as the platform's is: what a process keeps there is for its successor alone.
         command.env("TMPDIR", &folder);
@@ -101,10 +101,14 @@
 
     /// A command for a process on a clients' socket that the caller holds, as the platform does; with the
     /// `$TMPDIR` of a process that it replaces, where one is named.
-    pub fn command_on(config: &Value, socket: &std::net::TcpListener, replaces: Option<&Program>) -> Command {
+    pub fn command_on_socket(
+        config: &Value,
+        socket: &std::net::TcpListener,
+        replaces: Option<&Program>,
+    ) -> Command {
         let mut command = Program::command(config, None);
         if let Some(old) = replaces {
-            command.env("TMPDIR", &old.folder);
+            command.env("TMPDIR", &old.temp_dir);
         }
         let parent_fd = socket.try_clone().unwrap().into();
         command.fd_mappings(vec![FdMapping { parent_fd, child_fd: 5 }]).unwrap();
@@ -120,7 +124,7 @@
 
     /// Starts it and waits until it is ready and has heard from discovery.
     pub fn start(discovery: &Discovery, settings: Value, gateway: Option<&str>) -> Program {
-        Program::start_with(Program::config(discovery.at, settings), gateway)
+        Program::start_with(Program::config(discovery.address, settings), gateway)
     }
 
     pub fn start_with(config: Value, gateway: Option<&str>) -> Program {
@@ -139,7 +143,7 @@
             let told = command.get_envs().find(|(name, _)| *name == what).unwrap().1.unwrap();
             PathBuf::from(told)
         };
-        let (config, folder) = (told("NODE_CONFIG"), told("TMPDIR"));
+        let (config, temp_dir) = (told("NODE_CONFIG"), told("TMPDIR"));
         let mut child = command.spawn().unwrap();
         let (log, lines) = (Events::default(), BufReader::new(child.stderr.take().unwrap()));
         let told = log.clone();
@@ -148,14 +152,14 @@
             let rest = line.split_once(word).unwrap().1;
             rest.split([' ', ',']).next().unwrap().parse::<SocketAddr>().unwrap()
         };
-        let at = after(log.wait("ready on ", 1), "ready on ");
-        let faktory = faktory.then(|| after(log.wait("faktory on ", 1), "faktory on "));
+        let address = after(log.wait("ready on ", 1), "ready on ");
+        let faktory_address = faktory.then(|| after(log.wait("faktory on ", 1), "faktory on "));
         log.wait(word, 1);
-        Program { child, at, faktory, log, config, folder }
+        Program { child, address, faktory_address, log, config, temp_dir }
     }
 
     /// Where its operators' door is.
-    pub fn door(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         let line = self.log.wait("operators' door on ", 1);
         line.split_once("operators' door on ").unwrap().1.trim().parse().unwrap()
     }
--- a/stand-ins/src/scripted/runner.rs
+++ b/stand-ins/src/scripted/runner.rs
@@ -1,8 +1,8 @@
 //! Discovery and runners of the platform for one dispatcher, that do as a test says. They own what is answered;
 //! they must never do anything that no test has planned.
 
-use super::{Events, PATIENCE, Program, word_of};
-use crate::discovery::Planned;
+use super::{EVENT_TIMEOUT, Events, Program, word_of};
+use crate::discovery::PlannedReply;
 use crate::http::{self, Connection};
 use serde_json::{Value, json};
 use std::io;
@@ -25,25 +25,27 @@
 
 /// Discovery for one dispatcher: tells the whole list first, then the changes that a test makes.
 pub struct Discovery {
-    pub at: SocketAddr,
-    pub calls: Events,
+    pub address: SocketAddr,
+    pub request_lines: Events,
     service: crate::discovery::Discovery,
 }
 
 impl Discovery {
     pub fn start(hosts: Vec<Value>) -> Discovery {
-        Discovery::planned(hosts, &[])
+        Discovery::start_with_replies(hosts, &[])
     }
 
     /// Its first calls go as planned.
-    pub fn planned(hosts: Vec<Value>, plan: &[Planned]) -> Discovery {
-        let service = background().block_on(crate::discovery::Discovery::planned(vec![hosts], plan)).unwrap();
-        Discovery { at: service.at[0], calls: service.calls.clone(), service }
+    pub fn start_with_replies(hosts: Vec<Value>, plan: &[PlannedReply]) -> Discovery {
+        let service = background()
+            .block_on(crate::discovery::Discovery::start_with_replies(vec![hosts], plan))
+            .unwrap();
+        Discovery { address: service.addresses[0], request_lines: service.request_lines.clone(), service }
     }
 
     /// Tells every watch of a change.
-    pub fn tell(&self, hosts: &[Value]) {
-        self.service.tell(&[hosts.to_vec()]);
+    pub fn update(&self, hosts: &[Value]) {
+        self.service.update(&[hosts.to_vec()]);
     }
 
     /// Goes on where the plan has it wait for that.
@@ -66,18 +68,18 @@
 /// `hang` (taken, and nothing more), `early` (the call-back comes before the 202), `mute` (no 202),
 /// `unusable` (400).
 pub struct Runner {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// `POST word id`, `DELETE id`.
-    pub seen: Events,
+    pub events: Events,
     dispatcher: Arc<OnceLock<SocketAddr>>,
 }
 
 impl Runner {
     pub fn start(name: &str) -> Runner {
         let listener = background().block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
-        let at = listener.local_addr().unwrap();
-        let (seen, dispatcher) = (Events::default(), Arc::new(OnceLock::new()));
-        let (told, to, name) = (seen.clone(), dispatcher.clone(), name.to_owned());
+        let address = listener.local_addr().unwrap();
+        let (events, dispatcher) = (Events::default(), Arc::new(OnceLock::new()));
+        let (told, to, name) = (events.clone(), dispatcher.clone(), name.to_owned());
         background().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (told, to, name) = (told.clone(), to.clone(), name.clone());
@@ -86,11 +88,11 @@
                 });
             }
         });
-        Runner { at, seen, dispatcher }
+        Runner { address, events, dispatcher }
     }
 
     pub fn call_back_to(&self, program: &Program) {
-        self.dispatcher.set(program.at).unwrap();
+        self.dispatcher.set(program.address).unwrap();
     }
 
     async fn serve(
@@ -113,7 +115,9 @@
                 body["load"] = json!({"outstanding": 1, "recent_ms": 10.0, "x0": 4, "errors_per_s": 0});
                 let head = "POST /v1/job-events HTTP/1.1\r\nHost: t";
                 let at = *to.get().unwrap();
-                http::call(at, head, body.to_string().as_bytes(), PATIENCE).await.map(|answer| answer.status)
+                http::call(at, head, body.to_string().as_bytes(), EVENT_TIMEOUT)
+                    .await
+                    .map(|answer| answer.status)
             };
             match word {
                 "mute" => {}
--- a/stand-ins/tests/common/mod.rs
+++ b/stand-ins/tests/common/mod.rs
@@ -3,10 +3,10 @@
 
 #![allow(dead_code, reason = "each test uses its part")]
 
-use sablerun_stand_ins::hollow::manner::Manner;
-use sablerun_stand_ins::hollow::{Dispatcher, Planned, Runners, View};
+use sablerun_stand_ins::hollow::profile::Profile;
+use sablerun_stand_ins::hollow::{Dispatcher, RunnerSpec, Runners, View};
 use sablerun_stand_ins::http::{Connection, Message};
-use sablerun_stand_ins::tally::Side;
+use sablerun_stand_ins::metrics::TrafficSource;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,19 +14,24 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 /// Longest that an event may take before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Work that never ends in a test.
 pub const LONG: u64 = 3_600_000_000;
 
 /// The next of some events.
 pub async fn next<T>(from: &mut UnboundedReceiver<T>) -> T {
-    tokio::time::timeout(PATIENCE, from.recv()).await.expect("an event in time").expect("an event")
+    tokio::time::timeout(EVENT_TIMEOUT, from.recv()).await.expect("an event in time").expect("an event")
 }
 
 /// Two regions, real and hollow dispatchers in each.
 pub fn views() -> Vec<View> {
-    let view = |region, side| View { region, side };
-    vec![view(0, Side::Real), view(0, Side::Hollow), view(1, Side::Real), view(1, Side::Hollow)]
+    let view = |region, source| View { region, source };
+    vec![
+        view(0, TrafficSource::Real),
+        view(0, TrafficSource::Hollow),
+        view(1, TrafficSource::Real),
+        view(1, TrafficSource::Hollow),
+    ]
 }
 
 /// What an [`Ear`] answers a call-back with; `None` ends the connection.
@@ -104,21 +109,25 @@
             ears.push(Ear::open(reply).await);
         }
         let planned = slots.iter().enumerate();
-        let planned: Vec<_> =
-            planned.map(|(n, slots)| Planned { name: format!("r-{n}"), region: 0, slots: *slots }).collect();
-        let dispatchers: Vec<_> =
-            ears.iter().enumerate().map(|(view, ear)| Dispatcher { listen: ear.at, view }).collect();
+        let planned: Vec<_> = planned
+            .map(|(n, slots)| RunnerSpec { name: format!("r-{n}"), region: 0, slots: *slots })
+            .collect();
+        let dispatchers: Vec<_> = ears
+            .iter()
+            .enumerate()
+            .map(|(view, ear)| Dispatcher { callback_address: ear.at, view })
+            .collect();
         let (tell, began) = unbounded_channel();
         let record = Box::new(move |id: &str, runner: usize| tell.send((id.to_owned(), runner)).unwrap());
-        let mut manner = Manner::of(&settings);
+        let mut manner = Profile::from_settings(&settings);
         // Patient: a busy machine must not look like a deaf dispatcher.
-        manner.answer = PATIENCE;
+        manner.callback_timeout = EVENT_TIMEOUT;
         let runners = Runners::start(&planned, &views(), &dispatchers, manner, record).await.unwrap();
-        Stage { dial: runners.dial(), runners, ears, began }
+        Stage { dial: runners.addresses(), runners, ears, began }
     }
 
     pub fn value(&self, name: &str) -> u64 {
-        *self.runners.tally().values().get(name).unwrap_or_else(|| panic!("no {name}")) as u64
+        *self.runners.metrics().values().get(name).unwrap_or_else(|| panic!("no {name}")) as u64
     }
 }
 
@@ -129,7 +138,7 @@
 
 /// One side of a connection to a runner.
 pub async fn dial(at: SocketAddr) -> Connection {
-    Connection::open(at, PATIENCE).await.unwrap()
+    Connection::open(at, EVENT_TIMEOUT).await.unwrap()
 }
 
 /// Writes a request, and returns how long it is.
@@ -137,13 +146,13 @@
     let body = json!({"work_us": work_us}).to_string();
     let head = format!("POST /api?sid=7f3a HTTP/1.1\r\nHost: r\r\nX-Request-ID: {id}");
     let bytes = format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    connection.raw(bytes.as_bytes()).await.unwrap();
+    connection.write_raw(bytes.as_bytes()).await.unwrap();
     bytes.len()
 }
 
 /// The answer on a connection.
 pub async fn answer(connection: &mut Connection) -> Message {
-    let read = tokio::time::timeout(PATIENCE, connection.read()).await.expect("an answer in time");
+    let read = tokio::time::timeout(EVENT_TIMEOUT, connection.read()).await.expect("an answer in time");
     read.expect("a connection that stands").expect("an answer")
 }
 
--- a/stand-ins/tests/discovery.rs
+++ b/stand-ins/tests/discovery.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use sablerun_stand_ins::discovery::lists::Lists;
-use sablerun_stand_ins::discovery::{Discovery, Plan};
-use sablerun_stand_ins::hollow::Cut;
+use sablerun_stand_ins::discovery::{Config, Discovery};
+use sablerun_stand_ins::hollow::Partition;
 use sablerun_stand_ins::http::Connection;
 use serde_json::{Value, json};
 
@@ -47,13 +47,19 @@
 
 /// Discovery for a dispatcher of each view, with runner `a`.
 async fn discovery() -> Discovery {
-    let plan = Plan { views: views(), dispatchers: vec![0, 1, 2, 3], chunk: None, indented: false, held: 9 };
-    Discovery::serve(seen("a", "active"), plan, &[]).await.unwrap()
+    let plan = Config {
+        views: views(),
+        dispatcher_views: vec![0, 1, 2, 3],
+        chunk_bytes: None,
+        indented: false,
+        retained_changes: 9,
+    };
+    Discovery::start_with_config(seen("a", "active"), plan, &[]).await.unwrap()
 }
 
 /// A watch from a version on.
 async fn watch(discovery: &Discovery, dispatcher: usize, version: u64) -> Connection {
-    let mut connection = dial(discovery.at[dispatcher]).await;
+    let mut connection = dial(discovery.addresses[dispatcher]).await;
     let line = format!("GET /discovery/hosts?stream=1&index={version} HTTP/1.1\r\nHost: d");
     connection.write(&line, b"").await.unwrap();
     connection
@@ -62,7 +68,7 @@
 /// The next object of a watch; empty lines are passed over.
 async fn object(connection: &mut Connection) -> Value {
     loop {
-        let line = tokio::time::timeout(PATIENCE, connection.line()).await.unwrap().unwrap();
+        let line = tokio::time::timeout(EVENT_TIMEOUT, connection.read_line()).await.unwrap().unwrap();
         if line.starts_with('{') {
             return serde_json::from_str(&line).unwrap();
         }
@@ -70,7 +76,7 @@
 }
 
 async fn whole(discovery: &Discovery, dispatcher: usize) -> Value {
-    let mut connection = dial(discovery.at[dispatcher]).await;
+    let mut connection = dial(discovery.addresses[dispatcher]).await;
     serde_json::from_str(&call(&mut connection, "GET /discovery/hosts").await.body).unwrap()
 }
 
@@ -82,12 +88,12 @@
     assert_eq!(object(&mut held).await, json!({"seq": 1, "whole": false, "hosts": []}));
     let mut anew = watch(&discovery, 1, 0).await;
     assert_eq!(object(&mut anew).await["whole"], true);
-    assert_eq!(discovery.tell(&seen("a", "leaving")), 2);
+    assert_eq!(discovery.update(&seen("a", "leaving")), 2);
     let change = |view| json!({"seq": 2, "whole": false, "hosts": [host("a", "leaving", view)]});
     assert_eq!(object(&mut held).await, change(0));
     assert_eq!(object(&mut anew).await, change(1));
     assert_eq!(object(&mut watch(&discovery, 2, 1).await).await, change(2));
-    let values = discovery.tally().values();
+    let values = discovery.metrics().values();
     let of = |name: &str| values[name] as u64;
     assert_eq!((of("real.calls.watches"), of("hollow.calls.watches")), (2, 1));
     assert_eq!((of("hollow.calls.lists"), of("real.calls.lists")), (1, 0));
@@ -106,15 +112,15 @@
     for connection in [&mut near, &mut far, &mut left] {
         object(connection).await;
     }
-    discovery.link(Some(Cut::Both));
+    discovery.set_partition(Some(Partition::BothDirections));
     let mut call = watch(&discovery, 2, 1).await;
     drop(left);
     for (name, health) in [("b", "active"), ("a", "left")] {
-        discovery.tell(&seen(name, health));
+        discovery.update(&seen(name, health));
         assert_eq!(names(&object(&mut near).await), [name]);
     }
-    assert_eq!(discovery.tally().values()["hollow.changes"], 1.0, "but for its first object");
-    discovery.link(None);
+    assert_eq!(discovery.metrics().values()["hollow.changes"], 1.0, "but for its first object");
+    discovery.set_partition(None);
     assert_eq!(names(&object(&mut far).await), ["b"]);
     assert_eq!(names(&object(&mut far).await), ["a"]);
     assert!(call.read().await.is_err(), "a call that never came up is reset");
@@ -124,13 +130,13 @@
 #[tokio::test]
 async fn over_a_link_cut_one_way_a_call_is_answered_when_it_is_whole() {
     let discovery = discovery().await;
-    discovery.link(Some(Cut::Back));
+    discovery.set_partition(Some(Partition::ToDispatchers));
     let mut connection = watch(&discovery, 2, 1).await;
-    while discovery.tally().values()["real.calls_now"] == 0.0 {
+    while discovery.metrics().values()["real.calls_now"] == 0.0 {
         tokio::task::yield_now().await;
     }
-    discovery.tell(&seen("b", "active"));
-    discovery.link(None);
+    discovery.update(&seen("b", "active"));
+    discovery.set_partition(None);
     assert_eq!(names(&object(&mut connection).await), [""; 0], "as the list was when it asked");
     assert_eq!(names(&object(&mut connection).await), ["b"]);
 }
--- a/stand-ins/tests/hollow.rs
+++ b/stand-ins/tests/hollow.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use sablerun_stand_ins::hollow::Cut;
+use sablerun_stand_ins::hollow::Partition;
 use serde_json::json;
 
 #[tokio::test]
@@ -156,7 +156,7 @@
         assert_eq!(answer(&mut connection).await.status, 202);
     }
     assert_eq!(stage.ears[0].next().await.0, id(0, 1));
-    stage.runners.down(&[0]).await.unwrap();
+    stage.runners.crash(&[0]).await.unwrap();
     assert_eq!(connection.read().await.unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
     for at in &stage.dial[0] {
         let refused = tokio::net::TcpStream::connect(at).await.unwrap_err();
@@ -167,17 +167,17 @@
         (0, 0, 2)
     );
     assert_eq!(stage.value("real.connections_open_now"), 0);
-    stage.runners.down(&[0]).await.unwrap();
-    stage.runners.up(&[0]).unwrap();
-    stage.runners.up(&[0]).unwrap();
-    assert_eq!(stage.runners.dial(), stage.dial);
+    stage.runners.crash(&[0]).await.unwrap();
+    stage.runners.restart(&[0]).unwrap();
+    stage.runners.restart(&[0]).unwrap();
+    assert_eq!(stage.runners.addresses(), stage.dial);
     let mut connection = dial(stage.dial[0][0]).await;
     send(&mut connection, &id(0, 3), 5).await;
     assert_eq!(answer(&mut connection).await.status, 202);
     assert_eq!(stage.ears[0].next().await, (id(0, 3), "started".to_owned()), "nothing of the lost is told");
     let done = next(&mut stage.ears[0].heard).await.1;
     assert_eq!((&done["id"], &done["state"]), (&json!(id(0, 3)), &json!("done")));
-    assert!(stage.runners.down(&[2]).await.is_err(), "there is no such runner");
+    assert!(stage.runners.crash(&[2]).await.is_err(), "there is no such runner");
 }
 
 #[tokio::test]
@@ -188,7 +188,7 @@
     assert_eq!(call(&mut old, "GET /alive").await.status, 200);
     let mut gone = dial(far).await;
     assert_eq!(call(&mut gone, "GET /alive").await.status, 200);
-    stage.runners.link(Some(Cut::Both));
+    stage.runners.set_partition(Some(Partition::BothDirections));
     let mut new = dial(far).await;
     send(&mut old, &id(2, 1), 5).await;
     send(&mut new, &id(2, 2), 5).await;
@@ -200,7 +200,7 @@
     assert_eq!(stage.ears[0].next().await.1, "started");
     assert_eq!(stage.ears[0].next().await.1, "done");
     assert_eq!(next(&mut stage.began).await.0, id(0, 4));
-    stage.runners.link(None);
+    stage.runners.set_partition(None);
     assert_eq!(answer(&mut old).await.status, 202);
     assert_eq!(next(&mut stage.began).await.0, id(2, 1));
     assert_eq!(stage.ears[2].next().await, (id(2, 1), "started".to_owned()));
@@ -214,7 +214,7 @@
     let mut stage = Stage::set(&[1], settings()).await;
     let mut connection = dial(stage.dial[0][3]).await;
     let mut gone = dial(stage.dial[0][3]).await;
-    stage.runners.link(Some(Cut::Back));
+    stage.runners.set_partition(Some(Partition::ToDispatchers));
     send(&mut connection, &id(3, 1), LONG).await;
     assert_eq!(next(&mut stage.began).await.0, id(3, 1));
     send(&mut gone, &id(3, 2), 5).await;
@@ -229,7 +229,7 @@
     assert_eq!((stage.value("hollow.running_now"), stage.value("hollow.queued_now")), (1, 0));
     assert_eq!(stage.value("hollow.callback_tries"), 0);
     assert_eq!(stage.value("hollow.bytes_out.requests"), 0);
-    stage.runners.link(None);
+    stage.runners.set_partition(None);
     assert_eq!(answer(&mut connection).await.status, 202);
     assert_eq!(stage.ears[3].next().await, (id(3, 1), "started".to_owned()));
 }
