--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -6,7 +6,7 @@
 use crate::runtime::unix_now;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use sablerun as sr;
-use sablerun_keys::{Fate, Member, Snapshot};
+use sablerun_keys::{Member, Resolution, Snapshot};
 use serde_json::json;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -120,7 +120,7 @@
         let sections = if sections.is_empty() { "none".to_owned() } else { sections.join(", ") };
         writeln!(out, "settings and operator's file are good; sections on: {sections}")
     };
-    quiet(written)
+    ignore_broken_pipe(written)
 }
 
 /// Prints what a snapshot holds.
@@ -142,21 +142,22 @@
         is(&args.member, &member_of(record.member)) && is(&args.class, &class_of(record.class))
     };
     let all: Vec<_> = snapshot.records.iter().rev().filter(wanted).collect();
-    let count = |served: bool| all.iter().filter(|r| matches!(r.fate, Fate::Served(_)) == served).count();
+    let count =
+        |served: bool| all.iter().filter(|r| matches!(r.resolution, Resolution::Served(_)) == served).count();
     let rows = all.iter().take(args.most).map(|record| {
-        let (state, zone, bytes) = match &record.fate {
-            Fate::Served(result) => ("served", None, result.len()),
-            Fate::MayHaveRun(sent) => {
+        let (state, zone, bytes) = match &record.resolution {
+            Resolution::Served(result) => ("served", None, result.len()),
+            Resolution::MayHaveRun(sent) => {
                 ("may have run", sent.place.and_then(|p| name(&snapshot.names.zones, p.zone)), 0)
             }
-            Fate::NeverRan => ("never ran", None, 0),
+            Resolution::NeverRan => ("never ran", None, 0),
         };
         // Keys may hold anything; a terminal must not.
         let key = String::from_utf8_lossy(&record.key).escape_debug().to_string();
-        (member_of(record.member), class_of(record.class), state, zone, bytes, age(record.at), key)
+        (member_of(record.member), class_of(record.class), state, zone, bytes, age(record.resolved_at), key)
     });
     let mut out = io::stdout().lock();
-    let head = (age(snapshot.made), snapshot.last, count(true), count(false));
+    let head = (age(snapshot.taken_at), snapshot.clean_shutdown, count(true), count(false));
     if args.json {
         let rows: Vec<_> = rows
             .map(|(member, class, state, zone, bytes, age, key)| {
@@ -164,7 +165,7 @@
                        "result_bytes": bytes, "age_s": age})
             })
             .collect();
-        return quiet(writeln!(
+        return ignore_broken_pipe(writeln!(
             out,
             "{}",
             json!({"age_s": head.0, "last": head.1, "served": head.2, "may_have_run": head.3, "keys": rows})
@@ -184,11 +185,11 @@
         }
         Ok(())
     };
-    quiet(write())
+    ignore_broken_pipe(write())
 }
 
 /// A reader that has seen enough (`| head`) is no error.
-pub fn quiet(written: io::Result<()>) -> Result<(), String> {
+pub fn ignore_broken_pipe(written: io::Result<()>) -> Result<(), String> {
     match written {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(format!("standard output: {e}")),
         _ => Ok(()),
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -5,12 +5,12 @@
 use crate::core::Input;
 use crate::net::runners::Pool;
 use crate::operator;
-use crate::runtime::{Digests, Runtime};
+use crate::runtime::{DigestSource, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
 use sablerun as sr;
-use sablerun_digest::Stream;
+use sablerun_digest::FrameDecoder;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 const WAITS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
 /// The link.
-pub struct Digest {
+pub struct DigestSubscriber {
     runtime: Weak<Runtime>,
     client: Client,
     at: SocketAddr,
@@ -29,18 +29,18 @@
     anew: Notify,
 }
 
-impl Digest {
+impl DigestSubscriber {
     /// Follows the digest that the operator's file names, until the program ends.
     pub fn start(runtime: &Rc<Runtime>, section: &operator::Digest) {
         let pool = Pool::new(&runtime.limits);
-        let digest = Rc::new(Digest {
+        let digest = Rc::new(DigestSubscriber {
             runtime: Rc::downgrade(runtime),
             client: pool.client(&runtime.limits),
             at: section.at,
             silent: section.silent(),
             anew: Notify::new(),
         });
-        runtime.set_digests(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
+        runtime.set_digest_source(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
         actix_rt::spawn(async move { digest.keep_up().await });
     }
 
@@ -68,10 +68,10 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()));
         }
-        let mut frames = Stream::default();
+        let mut frames = FrameDecoder::default();
         while let Some(bytes) = timeout(self.silent, response.next()).await.map_err(silent)? {
             frames.extend(&bytes.map_err(|e| e.to_string())?);
-            while let Some(frame) = frames.pop().map_err(|e| e.0.to_owned())? {
+            while let Some(frame) = frames.next_frame().map_err(|e| e.0.to_owned())? {
                 let Some(runtime) = self.runtime.upgrade() else { return Ok(()) };
                 *told = true;
                 runtime.feed(Input::Digest(frame));
@@ -81,8 +81,8 @@
     }
 }
 
-impl Digests for Digest {
-    fn ask_whole(&self) {
+impl DigestSource for DigestSubscriber {
+    fn fetch_full(&self) {
         self.anew.notify_one();
     }
 }
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -4,12 +4,12 @@
 //! again: a watch that breaks or falls silent is reported, and the module asks. One that is late, with its
 //! first list or later, is read on until the next one tells something.
 
-use crate::core::{Input, Listed, Source};
+use crate::core::{Input, ListedRunner, Source};
 use crate::net::hosts::Hosts;
+use crate::net::json_stream::JsonStream;
 use crate::net::loss::{Due, Loss, Lost};
-use crate::net::objects::Objects;
-use crate::net::runners::{Pool, Runners};
-use crate::runtime::{Roster, Runtime};
+use crate::net::runners::{Pool, RunnerLink};
+use crate::runtime::{RunnerListSource, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
@@ -20,9 +20,9 @@
 use tokio::task::AbortHandle;
 
 /// The way to discovery.
-pub struct Discovery {
+pub struct DiscoveryClient {
     runtime: Weak<Runtime>,
-    runners: Rc<Runners>,
+    runners: Rc<RunnerLink>,
     client: Client,
     seq: Cell<u64>,
     /// Where `seq` was told, how often that has changed, the number of the watch that counts, and that watch.
@@ -37,13 +37,13 @@
     /// Earlier watches that have not ended, until the new one tells something: what an old address still
     /// tells binds too, a silent watch may only be late, and nothing may fall between the two.
     before: RefCell<Vec<AbortHandle>>,
-    this: Weak<Discovery>,
+    this: Weak<DiscoveryClient>,
 }
 
-impl Discovery {
-    pub fn new(runtime: &Rc<Runtime>, runners: &Rc<Runners>) -> Rc<Discovery> {
+impl DiscoveryClient {
+    pub fn new(runtime: &Rc<Runtime>, runners: &Rc<RunnerLink>) -> Rc<DiscoveryClient> {
         let pool = Pool::new(&runtime.limits);
-        Rc::new_cyclic(|this| Discovery {
+        Rc::new_cyclic(|this| DiscoveryClient {
             runtime: Rc::downgrade(runtime),
             runners: runners.clone(),
             client: pool.client(&runtime.limits),
@@ -60,7 +60,7 @@
     }
 
     /// Takes a list or a change of it.
-    pub fn take(&self, kind: sr::ListKind, hosts: Hosts) {
+    pub fn apply_list(&self, kind: sr::ListKind, hosts: Hosts) {
         self.seq.set(hosts.seq);
         self.list(kind, hosts);
     }
@@ -84,14 +84,14 @@
         for host in hosts.hosts {
             let standing = host.standing();
             match host.dial.parse() {
-                Ok(at) => self.runners.address(&host.host, at),
+                Ok(at) => self.runners.set_address(&host.host, at),
                 Err(e) if standing == sr::WorkerState::Ready => {
                     log::warn!("discovery: address {:?} of runner {}: {e}", host.dial, host.host);
                     continue;
                 }
                 Err(_) => {}
             }
-            listed.push(Listed {
+            listed.push(ListedRunner {
                 name: host.host,
                 zone: host.site,
                 kind: host.class,
@@ -114,7 +114,7 @@
         let kind = if hosts.whole { sr::ListKind::Full } else { sr::ListKind::Delta };
         match self.moves.get() == moves {
             true if self.overtaken(asked, &hosts) => log::debug!("list {kind:?} {}: overtaken", hosts.seq),
-            true => self.take(kind, hosts),
+            true => self.apply_list(kind, hosts),
             // Its versions are another address's.
             false => self.list(kind, hosts),
         }
@@ -128,7 +128,7 @@
         let url = format!("http://{at}/discovery/hosts?stream=1&index={asked}");
         // A connection of its own: one kept from an earlier call may be closed as this is written.
         let request = self.client.get(url).address(at).no_decompress().force_close().send();
-        let mut due = Due::new(limits.list, limits.watch_late);
+        let mut due = Due::new(limits.list_timeout, limits.late_watch_timeout);
         let late = |why: &str, lost| {
             if self.number.get() == number {
                 self.lose("watch", Loss { why: why.to_owned(), lost });
@@ -138,7 +138,7 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        let (mut objects, mut heard) = (Objects::new(limits.watch_line), false);
+        let (mut objects, mut heard) = (JsonStream::new(limits.max_watch_line_bytes), false);
         loop {
             let told = due.wait(response.next(), || match heard {
                 true => late("silent", Lost::Silent),
@@ -154,7 +154,7 @@
             heard |= told;
             // Bytes alone are no sign of life: a whole object is, and then an empty line, which comes every 2 s.
             if told || heard && objects.line() {
-                due = Due::new(limits.watch_silence, limits.watch_late);
+                due = Due::new(limits.watch_silence_timeout, limits.late_watch_timeout);
                 if self.moves.get() == moves {
                     self.alive();
                 }
@@ -175,10 +175,11 @@
             if response.status() != StatusCode::OK {
                 return Err(format!("answered {}", response.status()).into());
             }
-            let body = response.body().limit(runtime.limits.watch_line).await;
+            let body = response.body().limit(runtime.limits.max_watch_line_bytes).await;
             body.map_err(|e| Loss::from(e.to_string()))
         };
-        let body = tokio::time::timeout(runtime.limits.list, call).await.map_err(|_| "no answer")??;
+        let body =
+            tokio::time::timeout(runtime.limits.list_timeout, call).await.map_err(|_| "no answer")??;
         let hosts = serde_json::from_slice(&body).map_err(|e| format!("the list can't be read: {e}"))?;
         self.take_from(moves, asked, hosts);
         Ok(())
@@ -196,7 +197,7 @@
     }
 }
 
-impl Roster for Discovery {
+impl RunnerListSource for DiscoveryClient {
     fn subscribe(&self, at: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
         let moved = self.at.replace(Some(at)).is_some_and(|before| before != at);
@@ -231,7 +232,7 @@
         });
     }
 
-    fn told(&self) -> bool {
+    fn has_list(&self) -> bool {
         self.told.get()
     }
 }
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -3,14 +3,14 @@
 //! has handed to the core, nor keep one back.
 
 use crate::core::{Answer, Arrival, Input};
-use crate::figures::Counted;
+use crate::metrics::AnswerKind;
 use crate::net::callbacks::{self, CallBack};
-use crate::net::peers::Handed;
+use crate::net::peers::Forwarded;
 use crate::net::platform::Front;
 use crate::net::platform::connection::{Carried, Connection};
 use crate::net::platform::head::{Head, text};
 use crate::net::platform::reply::Reply;
-use crate::runtime::{Here, Job};
+use crate::runtime::{ClientGuard, Job};
 use actix_http::header::{self, HeaderName};
 use actix_http::{HttpMessage, Method, Request, Response, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -26,14 +26,14 @@
         let runners = request.path() == "/v1/job-events";
         let ours = connection.as_ref().is_some_and(|connection| {
             connection.carried.set(if runners { Carried::CallBacks } else { Carried::Requests });
-            connection.change(|life| life.begun(length(&request)))
+            connection.change(|life| life.request_started(length(&request)))
         });
         let reply = match (request.path(), request.method()) {
             // Behind its connection's last answer, where nobody reads another: not taken.
             _ if !ours => Reply { close: true, ..Reply::new(StatusCode::SERVICE_UNAVAILABLE, "") },
             ("/api", &Method::POST) => self.job(arrived, &mut request).await,
             ("/v1/job-events", &Method::POST) => self.call_back(&mut request).await,
-            ("/up", &Method::GET) if self.runtime.admits() => Reply::new(StatusCode::OK, ""),
+            ("/up", &Method::GET) if self.runtime.accepts_clients() => Reply::new(StatusCode::OK, ""),
             ("/up", &Method::GET) => Reply::new(StatusCode::SERVICE_UNAVAILABLE, "no list yet"),
             ("/api" | "/v1/job-events", _) => Reply::not_allowed("POST"),
             ("/up", _) => Reply::not_allowed("GET"),
@@ -44,7 +44,7 @@
             response.insert_header((name, value));
         }
         let close = reply.close || self.crowded() || !runners && self.runtime.stopping();
-        if connection.is_none_or(|connection| connection.change(|life| life.answered(close))) {
+        if connection.is_none_or(|connection| connection.change(|life| life.response_started(close))) {
             response.force_close();
         }
         Ok(response.message_body(reply.body).unwrap_or_else(|_| {
@@ -86,7 +86,7 @@
         let key = self.runtime.key_of(head.class, &job);
         let (ticket, answer) = self.runtime.ticket(head.class);
         // Dropped with this future when the connection closes before the answer.
-        let _here = Here::new(&self.runtime, ticket);
+        let _here = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(Arrival {
             ticket,
             id: head.id.into(),
@@ -120,15 +120,18 @@
     /// that are handed in, which the runtime counts.
     fn turned_away(&self, request: &Request) {
         let named = text(request.headers(), &HeaderName::from_static("x-priority-class")).ok().flatten();
-        if let Some(class) = named.and_then(|name| self.runtime.figures.class_if_room(name)) {
-            class.count(Counted::Errored);
+        if let Some(class) = named.and_then(|name| self.runtime.metrics.class_if_room(name)) {
+            class.count(AnswerKind::Errored);
         }
     }
 
     async fn read_body(&self, request: &mut Request) -> Result<Bytes, Reply> {
         let limits = &self.runtime.limits;
         let told = text(request.headers(), &header::CONTENT_LENGTH).ok().flatten();
-        if told.and_then(|length| length.parse::<usize>().ok()).is_some_and(|length| length > limits.body) {
+        if told
+            .and_then(|length| length.parse::<usize>().ok())
+            .is_some_and(|length| length > limits.max_body_bytes)
+        {
             return Err(Reply::too_large());
         }
         let mut payload = request.take_payload();
@@ -136,7 +139,7 @@
             let mut body = BytesMut::new();
             while let Some(chunk) = payload.next().await {
                 let chunk = chunk.map_err(|e| Reply::bad(format!("body: {e}")))?;
-                if body.len() + chunk.len() > limits.body {
+                if body.len() + chunk.len() > limits.max_body_bytes {
                     return Err(Reply::too_large());
                 }
                 body.extend_from_slice(&chunk);
@@ -144,7 +147,7 @@
             Ok(body.freeze())
         };
         let late = Reply { close: true, ..Reply::new(StatusCode::REQUEST_TIMEOUT, "body: too slow") };
-        tokio::time::timeout(limits.body_wait, reading).await.unwrap_or(Err(late))
+        tokio::time::timeout(limits.body_timeout, reading).await.unwrap_or(Err(late))
     }
 
     /// A runner tells what became of a job. Whatever it is about, it hears at once that it arrived.
@@ -166,15 +169,15 @@
         if let Some(peers) = peers {
             // On one line, as the door takes it: in JSON a line's end is white space only, never in a text.
             let line = String::from_utf8_lossy(&body).replace(['\r', '\n'], " ");
-            return match peers.hand_on(&line).await {
-                Handed::Taken | Handed::Nowhere => Reply::new(StatusCode::OK, ""),
-                Handed::Unreached => {
+            return match peers.forward(&line).await {
+                Forwarded::Accepted | Forwarded::NoOwner => Reply::new(StatusCode::OK, ""),
+                Forwarded::Unreachable => {
                     log::warn!(id = told.id.as_str(); "call-back not handed on: the other process is silent");
                     Reply::new(StatusCode::SERVICE_UNAVAILABLE, "not handed on: tell it again")
                 }
             };
         }
-        callbacks::take(&self.runtime, told);
+        callbacks::apply(&self.runtime, told);
         Reply::new(StatusCode::OK, "")
     }
 }
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -3,7 +3,7 @@
 
 use super::Shared;
 use crate::net::hosts::Hosts;
-use crate::net::objects::Objects;
+use crate::net::json_stream::JsonStream;
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
@@ -48,7 +48,7 @@
     if response.status() != StatusCode::OK {
         return Err(format!("answered {}", response.status()));
     }
-    let mut objects = Objects::new(LINE);
+    let mut objects = JsonStream::new(LINE);
     while let Some(bytes) = timeout(SILENT, response.next()).await.map_err(silent)? {
         objects.extend(&bytes.map_err(|e| e.to_string())?);
         while let Some(hosts) = objects.next::<Hosts>()? {
@@ -90,8 +90,8 @@
         let told = timeout(ANSWER, answer(&client, at)).await.ok().flatten();
         let figure = |name: &String| told.as_ref().and_then(|told| told.get(name)?.as_f64()).unwrap_or(0.0);
         let figures = shared.config.fields.iter().map(figure).collect();
-        let load = Load { runner: runner.clone(), ok: told.is_some(), figures };
-        shared.publisher.borrow_mut().heard(&load);
+        let load = Load { runner: runner.clone(), ok: told.is_some(), values: figures };
+        shared.publisher.borrow_mut().record(&load);
     }
 }
 
--- a/node/tests/model/world.rs
+++ b/node/tests/model/world.rs
@@ -3,8 +3,8 @@
 
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{AttemptId, Core, Input, Listed, Source};
-use sablerun_settings::{Names, Tables};
+use sablerun_node::core::{AttemptId, Core, Input, ListedRunner, Source};
+use sablerun_settings::{NameTable, Tables};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -61,9 +61,9 @@
     format!("s-{runner}")
 }
 
-pub fn listed(runner: usize, standing: sr::WorkerState) -> Listed {
+pub fn listed(runner: usize, standing: sr::WorkerState) -> ListedRunner {
     let (zone, kind) = (ZONES[runner].to_owned(), "k".to_owned());
-    Listed { name: name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
+    ListedRunner { name: name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
 }
 
 pub fn effects() -> [sr::Idempotency; 3] {
@@ -91,20 +91,23 @@
             max_hold_off: sr::Span::from_secs(2.0),
             ..sr::Settings::default()
         };
-        let names = Names::default;
+        let names = NameTable::default;
         let (workers, zones, kinds, classes, tenants) = (names(), names(), names(), names(), names());
         let tables = Tables { workers, zones, kinds, classes, tenants, fields: Vec::new() };
         let now = sr::Time(1_000_000_000_000);
         let mut core = Core::new(settings, tables, roster(1), seed, now, 20).unwrap();
         let bounds = keys::Bounds {
-            entries: 1000,
-            bytes: 1 << 20,
-            result: 100,
-            key: 100,
-            member: 1000,
+            max_entries: 1000,
+            max_bytes: 1 << 20,
+            max_result_bytes: 100,
+            max_key_bytes: 100,
+            max_entries_per_member: 1000,
             hold_off: sr::Span(1),
         };
-        core.keep_keys(keys::Store::new(bounds, vec![keys::Rule { window: WINDOW, keep: KEEP }; 3]));
+        core.set_key_store(keys::Store::new(
+            bounds,
+            vec![keys::Retention { window: WINDOW, uncertain_ttl: KEEP }; 3],
+        ));
         let standing = [sr::WorkerState::Ready; 4];
         let (asked, tried) = (Vec::new(), Vec::new());
         let (roster, asked_for_list, stop) = (roster(1), 0, None);
