--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,4 +1,5 @@
-//! The decisions of the dispatcher. Its types, events and actions are in `src/interface/`.
+//! The decisions of the dispatcher; their types, events and actions are in `src/interface/`. `price` computes
+//! `C = (QL + 1) * PT + CD` for each worker, `draw_worker` picks a ready one in proportion to `1 / C`.
 
 use crate::interface::*;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -13,176 +14,165 @@
 
 use state::*;
 
-/// Running time at the fleet's mean pace for each second of a hint, until jobs show it.
-const SCALE_PRIOR: f64 = 1.25;
-/// Wait before a suspect worker is tried again, in seconds.
-const TRIAL: f64 = 1.0;
-/// An entry without news for this long is probed where probes exist (the paper's psi), in seconds.
-const STALE: f64 = 2.0;
-/// Share of the objective that an attempt may wait for its start before it is moved.
-const PATIENCE: f64 = 0.25;
-/// Half-life of what was missed of a class at a worker, and of what tenants used, in seconds.
-const MISS_HALF_LIFE: f64 = 10.0;
-/// Share of failures beyond which a worker is not ready for a class, or an error is the request's own.
-const MISS_LIMIT: f64 = 0.5;
-/// A while without events that may be a stall of this dispatcher, in seconds.
-const STALL: f64 = 0.3;
-/// Times what is usual beyond which a figure is taken for no more: a single absurd one must cost nobody else.
-const ODD: f64 = 64.0;
-const PUMP: u64 = 1 << 62;
-const HOUSEKEEPING: u64 = PUMP + 1;
-const SUBSCRIBE: u64 = PUMP + 2;
+/// Running time at the fleet's mean pace per second of a hint, until finished jobs show it.
+const HINT_SCALE_PRIOR: f64 = 1.25;
+/// Wait before a suspect worker gets a trial request, in seconds.
+const TRIAL_S: f64 = 1.0;
+/// Age of a worker's last report at which it is probed, where probes exist (the paper's psi), in seconds.
+const STALE_S: f64 = 2.0;
+/// Share of the objective that an attempt may wait for its start before it is moved to another worker.
+const START_PATIENCE: f64 = 0.25;
+/// Half-life of failure rates and of the tenants' use of their shares, in seconds.
+const HALF_LIFE_S: f64 = 10.0;
+/// Failure rate at which a worker counts as failing, or an error as caused by the request itself.
+const FAILING: f64 = 0.5;
+/// A longer gap between events may be a stall of this dispatcher, in seconds.
+const STALL_S: f64 = 0.3;
+/// Cap on a value, as a multiple of the usual one: a single absurd value must not cost other requests.
+const OUTLIER: f64 = 64.0;
+/// Timer tokens of the balancer itself; smaller ones belong to requests and attempts.
+const DISPATCH_TIMER: u64 = 1 << 62;
+const PROBE_TIMER: u64 = DISPATCH_TIMER + 1;
+const SUBSCRIBE_TIMER: u64 = DISPATCH_TIMER + 2;
 
-/// The dispatcher. Its default has no classes and takes nothing: [`Balancer::new`] makes one of use.
+/// Turns events into actions. The default has no classes and admits nothing; use [`Balancer::new`].
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
-    epoch: Time,
-    /// The clock, when it last jumped, seconds since the start; whether it has begun, this event's actions.
-    now: Time,
-    stalled: Time,
-    at: f64,
-    begun: bool,
-    out: Vec<Action>,
-    /// What the list says of each worker, and what is known beside it.
-    entries: Vec<ListEntry>,
-    workers: Vec<Worker>,
-    peers: Vec<Peers>,
-    classes: Vec<ClassStat>,
-    /// Each tenant's share a second, requests it may still make, the part of its share used here, and when.
+    start: Time,
+    now: Time,               // of the current event
+    stalled_at: Time,        // when events last resumed after a gap
+    now_s: f64,              // `now` in seconds since the start
+    started: bool,           // the first event has been handled
+    outbox: Vec<Action>,     // of the current event
+    entries: Vec<ListEntry>, // the worker list, by worker number
+    workers: Vec<Worker>,    // estimates of the same workers
+    groups: Vec<Group>,
+    classes: Vec<ClassStats>,
+    /// By tenant: quota per second, requests it may still make, share of the quota used here, and as of when.
     tenants: Vec<(f64, f64, f64, f64)>,
     requests: HashMap<RequestId, Request>,
-    /// Requests held, in the order in which they are served: within share first, then by rank.
-    held: BTreeSet<(bool, u64, RequestId)>,
-    pumping: bool,
-    /// Running time of a mean request times its slots, as requests come, from 0.1 s and the objectives on.
-    mean_work: [f64; 2],
-    /// Running time at the fleet's mean pace for each second of a hint, and the jobs that showed it.
-    scale: (f64, f64),
-    /// Reported latency of a worker of mean pace.
-    base_latency: f64,
-    /// When the requests were taken, and attempts beyond a first made, that the budget's window still holds.
-    taken: VecDeque<Time>,
-    further: VecDeque<Time>,
-    /// Share of attempts of late that did not start at once, at home and away.
-    late_starts: [f64; 2],
-    /// Share of attempts of late that were turned away as full.
-    turned_away: f64,
-    /// The least share of errors of a worker in use.
-    erring: f64,
-    /// Share of attempts of late whose answers were lost, by belief.
-    losing: f64,
-    /// Share of errors that were met again at another worker, and when that was counted.
-    again: (f64, f64),
-    /// Idle time for which connections have been found to last.
-    safe_idle: f64,
-    list_backoff: f64,
-    subscribing: bool,
-    /// The watch is lost: from then on what it can't tell counts as told, and nobody may be sent to.
-    blind: Option<Time>,
+    pending: BTreeSet<(bool, u64, RequestId)>, // in order of service: within share first, then by rank
+    dispatch_timer_set: bool,
+    mean_work: [f64; 2], // mean running time times slots of arrivals, from 0.1 s and from the objectives on
+    hint_scale: (f64, f64), // running time at the fleet's mean pace per second of hint; number of samples
+    base_latency: f64,   // reported by a worker of mean pace, in seconds
+    /// Arrival times of requests, and times of retries, within the retry budget's window.
+    recent_requests: VecDeque<Time>,
+    recent_retries: VecDeque<Time>,
+    late_starts: [f64; 2], // share of recent attempts that started late, in the local and in remote zones
+    full_rate: f64,        // share of recent attempts rejected as full
+    base_errors: f64,      // lowest error rate of a worker in use
+    loss_rate: f64,        // estimated share of recent attempts whose answers were lost
+    repeat_errors: (f64, f64), // share of errors that occurred again at another worker; time of update
+    safe_idle_s: f64,      // idle time that connections have been found to survive
+    list_backoff: f64,     // in seconds
+    subscribe_pending: bool,
+    /// While the watch is lost: when unseen list changes start to count as reported, and sending must stop.
+    list_expiry: Option<Time>,
 }
 
 impl Balancer {
-    /// A dispatcher that starts now.
+    /// Creates a balancer that starts at `now`.
     ///
     /// # Errors
     ///
-    /// Names the setting that makes no sense.
+    /// Names the first invalid setting.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Balancer, SettingsError> {
         settings.validate()?;
         let mut balancer = Balancer {
             rng: fastrand::Rng::with_seed(seed),
-            epoch: now,
+            start: now,
             now,
-            stalled: now,
-            safe_idle: f64::INFINITY,
+            stalled_at: now,
+            safe_idle_s: f64::INFINITY,
             mean_work: [0.1; 2],
-            scale: (SCALE_PRIOR, 10.0),
+            hint_scale: (HINT_SCALE_PRIOR, 10.0),
             ..Balancer::default()
         };
-        balancer.retune(settings);
+        balancer.apply_settings(settings);
         Ok(balancer)
     }
 
-    /// Takes settings on: classes and tenants keep their numbers, and requests under way their limit.
-    fn retune(&mut self, mut settings: Settings) {
+    /// Adopts settings: classes and tenants keep their numbers; open requests keep a lower limit of attempts.
+    fn apply_settings(&mut self, mut settings: Settings) {
         settings.classes.extend(self.settings.classes.iter().skip(settings.classes.len()).cloned());
         for (t, tenant) in settings.tenants.iter().enumerate() {
             let (quota, part) = (tenant.quota_per_s, 1.0 / f64::from(settings.dispatchers));
-            self.tenants.resize(self.tenants.len().max(t + 1), (quota, quota * part, part, self.at));
+            self.tenants.resize(self.tenants.len().max(t + 1), (quota, quota * part, part, self.now_s));
             self.tenants[t].0 = quota;
         }
         for class in settings.classes.iter().skip(self.classes.len()) {
             self.mean_work[1] +=
                 (class.objective.secs() - self.mean_work[1]) / (self.classes.len() + 1) as f64;
-            self.classes.push(ClassStat { mean: (class.objective.secs().max(1e-3), 1.0), longest: 0.0 });
+            self.classes.push(ClassStats { mean: (class.objective.secs().max(1e-3), 1.0), max_window: 0.0 });
         }
-        let most = settings.max_attempts as usize;
-        self.requests.values_mut().for_each(|r| r.most_attempts = r.most_attempts.min(most));
+        let limit = settings.max_attempts as usize;
+        self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(limit));
         self.settings = settings;
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.stalled = if (now - self.now).secs() > STALL { now } else { self.stalled };
-        (self.now, self.at) = (now, (now - self.epoch).secs());
-        if !std::mem::replace(&mut self.begun, true) {
-            // Calls for the list where it must be asked for, and begins to probe at a time of its own.
-            self.lost(&Event::ListFailed);
+        self.stalled_at = if (now - self.now).secs() > STALL_S { now } else { self.stalled_at };
+        (self.now, self.now_s) = (now, (now - self.start).secs());
+        if !std::mem::replace(&mut self.started, true) {
+            // Requests the list where it must be requested, and starts probing after a random delay.
+            self.list_lost(&Event::ListFailed);
             if self.settings.probing {
-                let wait = Span::from_secs(STALE * self.rng.f64());
-                self.out.push(Action::Timer(now + wait, HOUSEKEEPING));
+                let wait = Span::from_secs(STALE_S * self.rng.f64());
+                self.outbox.push(Action::Timer(now + wait, PROBE_TIMER));
             }
         }
-        self.count_turns();
-        let pumps = !matches!(event, Event::AttemptUpdate(..) | Event::Timer(0..PUMP));
+        self.refill_cold_tokens();
+        let dispatches = !matches!(event, Event::AttemptUpdate(..) | Event::Timer(0..DISPATCH_TIMER));
         match event {
-            Event::List(kind, entries) => self.list(kind, entries),
-            Event::ListFailed | Event::ListSilent | Event::DiscoveryMoved => self.lost(&event),
-            Event::Arrival(arrival) => self.arrive(arrival),
+            Event::List(kind, entries) => self.apply_list(kind, entries),
+            Event::ListFailed | Event::ListSilent | Event::DiscoveryMoved => self.list_lost(&event),
+            Event::Arrival(arrival) => self.admit(arrival),
             Event::RequestClosed(id) => self.close(id),
-            Event::DeadlineExtended(id, deadline) => self.watch_deadline(id, deadline),
+            Event::DeadlineExtended(id, deadline) => self.set_deadline(id, deadline),
             Event::StreamStarted(id, attempt) => {
                 self.requests.entry(id).and_modify(|request| request.streaming = true);
-                self.noted(id, attempt, AttemptUpdate::Started);
+                self.attempt_updated(id, attempt, AttemptUpdate::Started);
             }
-            Event::AttemptUpdate(id, attempt, note) => self.noted(id, attempt, note),
-            Event::Ended { .. } => self.ended(event),
+            Event::AttemptUpdate(id, attempt, update) => self.attempt_updated(id, attempt, update),
+            Event::Ended { .. } => self.attempt_ended(event),
             Event::Probed(WorkerId(i), ok, report) => {
                 if let Some(w) = self.workers.get_mut(i as usize) {
-                    w.trial = w.trial.map(|trial| if ok { trial.min(self.at) } else { trial });
-                    report.into_iter().for_each(|report| self.reported(i as usize, report));
+                    w.trial_at = w.trial_at.map(|trial| if ok { trial.min(self.now_s) } else { trial });
+                    report.into_iter().for_each(|report| self.apply_report(i as usize, report));
                 }
             }
-            Event::SettingsChanged(settings) => self.retune(*settings),
-            Event::Timer(PUMP) => self.pumping = false,
-            Event::Timer(HOUSEKEEPING) => self.housekeeping(),
-            Event::Timer(SUBSCRIBE) => {
-                self.subscribing = false;
-                self.out.push(Action::Subscribe);
+            Event::SettingsChanged(settings) => self.apply_settings(*settings),
+            Event::Timer(DISPATCH_TIMER) => self.dispatch_timer_set = false,
+            Event::Timer(PROBE_TIMER) => self.probe_stale(),
+            Event::Timer(SUBSCRIBE_TIMER) => {
+                self.subscribe_pending = false;
+                self.outbox.push(Action::Subscribe);
             }
             Event::Timer(token) => self.request_timer(token),
         }
-        if pumps {
-            self.pump();
+        if dispatches {
+            self.dispatch_pending();
         }
-        actions.append(&mut self.out);
+        actions.append(&mut self.outbox);
     }
 }
 
-/// Takes a sight, within `ODD`, into a mean of 200 at the most: the mean, and how many it is of.
-fn learn((mean, seen): &mut (f64, f64), sight: f64, least: f64) {
-    *seen = (*seen + 1.0).min(200.0);
-    *mean = (*mean + (sight.min(*mean * ODD) - *mean) / *seen).max(least);
+/// Adds a sample, capped at `OUTLIER` times the mean, to a mean of at most 200 samples and their count.
+fn update_mean((mean, count): &mut (f64, f64), sample: f64, min: f64) {
+    *count = (*count + 1.0).min(200.0);
+    *mean = (*mean + (sample.min(*mean * OUTLIER) - *mean) / *count).max(min);
 }
 
-/// What is left of a count after a time.
-fn left(age: f64, half_life: f64) -> f64 {
+/// Returns the fraction of a count that is left after a time.
+fn decay(age: f64, half_life: f64) -> f64 {
     (-age / half_life).exp2()
 }
 
-/// The token of an attempt's timer; the request's own has 0 in the low byte.
+/// Returns the token of an attempt's timer; the token of a request's own timer has 0 in the low byte.
 fn attempt_token(id: RequestId, number: usize) -> u64 {
     u64::from(id.0) << 8 | (number as u64 + 1)
 }
--- a/src/balance/price.rs
+++ b/src/balance/price.rs
@@ -1,90 +1,93 @@
-//! Readiness, cold starts, price and lottery: to which worker an attempt goes. It must never send.
+//! Worker selection: readiness, slow start, price and the weighted random choice. Never sends.
 
 use super::*;
 
-/// Floor of a price, in seconds (the paper's xi).
-const FLOOR: f64 = 1e-4;
-/// Share of a cold worker's budget that all dispatchers together plan to use; many have no use for theirs.
-const COLD_USE: f64 = 0.53;
-/// Share of its aim by which a hinted job must be expected to end where it is sent: hints and paces err.
-const IN_TIME: f64 = 0.9;
-/// What starts at home must be late more often, beyond the price of crossing: shares differ so by chance.
+/// Lower bound of a price, in seconds (the paper's xi).
+const MIN_PRICE: f64 = 1e-4;
+/// Share of a cold worker's budget that all dispatchers together plan to use; many do not need their part.
+const COLD_START_USE: f64 = 0.53;
+/// Share of its target by which a hinted job must be expected to finish: hints and paces are imprecise.
+const HINTED_TARGET_SHARE: f64 = 0.9;
+/// How much more often, beyond the price of crossing, local starts must be late: rates differ by chance.
 const CROSS_MARGIN: f64 = 0.1;
 
 impl Balancer {
-    /// Share of its capacity that a worker can be counted on for, given its start.
-    pub(super) fn warmth(&self, i: usize) -> f64 {
+    /// Returns the fraction of its capacity that a worker has during slow start, given its start time.
+    pub(super) fn warm_up(&self, i: usize) -> f64 {
         let age = self.entries[i].up_since.map_or(f64::INFINITY, |up| (self.now - up).secs());
         let rise = (1.0 - self.settings.cold_from) * age / self.settings.warm_after.secs().max(1e-3);
         (self.settings.cold_from + rise).min(1.0)
     }
 
-    /// Counts the turns to send a cold worker a mean job: as many a second as fit in its budget, one
-    /// dispatcher after the other; what is not used in time is lost. At each event, since beliefs change.
-    pub(super) fn count_turns(&mut self) {
-        let share = self.settings.fall_multiple * COLD_USE / f64::from(self.settings.dispatchers);
-        for i in (0..self.workers.len()).filter(|i| self.warmth(*i) < 1.0).collect::<Vec<_>>() {
-            let slots = self.peers(i).slots.min(self.peers(i).free);
-            let rate = slots / self.slowness(i) * self.warmth(i) / self.mean_work[1].max(1e-3) * share;
+    /// Refills cold-start tokens, each good for a mean job to a cold worker; their rate fits its budget.
+    /// Dispatchers take turns; tokens not used in time are lost. Runs at each event, since estimates change.
+    pub(super) fn refill_cold_tokens(&mut self) {
+        let share = self.settings.fall_multiple * COLD_START_USE / f64::from(self.settings.dispatchers);
+        for i in (0..self.workers.len()).filter(|i| self.warm_up(*i) < 1.0).collect::<Vec<_>>() {
+            let slots = self.group(i).slots.min(self.group(i).max_free);
+            let rate = slots / self.slowness(i) * self.warm_up(i) / self.mean_work[1].max(1e-3) * share;
             let w = &mut self.workers[i];
-            let (turns, kept) =
-                (w.turns.0 + rate * (self.at - w.turns_at), rate * self.settings.fall_after.secs());
-            (w.turns, w.turns_at) = ((turns - (turns - kept).floor().max(0.0), kept), self.at);
+            let (tokens, cap) =
+                (w.tokens.0 + rate * (self.now_s - w.tokens_at), rate * self.settings.fall_after.secs());
+            (w.tokens, w.tokens_at) = ((tokens - (tokens - cap).floor().max(0.0), cap), self.now_s);
         }
     }
 
-    /// Whether a worker would take the request at once, by belief.
-    fn ready(&self, request: &Request, i: usize, queue: f64, time: f64) -> bool {
+    /// Whether a worker is expected to start the request at once.
+    fn is_ready(&self, request: &Request, i: usize, queue: f64, time: f64) -> bool {
         let (safe, w) =
             (self.settings.classes[request.class].idempotency == Idempotency::Safe, &self.workers[i]);
-        // Work beyond a share leaves a slot free for what may come within one.
-        let (left, kept) = (1.0 - request.yields * self.turned_away, u8::from(request.over_share));
-        let tried = w.trial.is_none_or(|trial| safe && self.at >= trial && w.load.waiting == 0);
-        // Where a hint tells how long the job runs: not where it would end too late to be of use.
-        let done = self.at - request.came + time;
-        tried
-            && (request.hint == 0.0 || done <= request.aim * IN_TIME)
-            && self.fails(i, request.class) < MISS_LIMIT
-            && queue + request.slots.ceil() + f64::from(kept) <= self.peers(i).slots * left + 0.5
+        // A request over its tenant's share leaves a slot free for requests within their shares.
+        let (left, reserve) = (1.0 - request.yielded_share * self.full_rate, u8::from(request.over_share));
+        let trial_due = w.trial_at.is_none_or(|trial| safe && self.now_s >= trial && w.load.queued == 0);
+        // A job with a hinted running time is not sent where it would finish too late to be useful.
+        let total = self.now_s - request.arrived_s + time;
+        trial_due
+            && (request.hint == 0.0 || total <= request.target * HINTED_TARGET_SHARE)
+            && self.failure_chance(i, request.class) < FAILING
+            && queue + request.slots.ceil() + f64::from(reserve) <= self.group(i).slots * left + 0.5
     }
 
-    pub(super) fn away(&self, i: usize) -> bool {
+    pub(super) fn is_remote(&self, i: usize) -> bool {
         Some(self.entries[i].zone) != self.settings.zone
     }
 
-    /// Whether a send there leaves home, and whether it needs a new connection, where that has a price.
-    fn extra(&self, i: usize) -> (bool, bool) {
-        let (prices, idle) = (&self.settings.prices, self.workers[i].idle.last());
-        let limit = self.settings.idle_limit.secs().min(self.safe_idle);
-        let [home, far] = self.late_starts;
-        let away = prices.cross_zone > 0.0 && self.away(i) && home - far <= prices.cross_zone + CROSS_MARGIN;
-        (away, prices.handshake > 0.0 && idle.is_none_or(|since| self.at - since >= limit))
+    /// Whether a send there crosses zones and whether it needs a new connection, where that has a price.
+    fn extra_cost(&self, i: usize) -> (bool, bool) {
+        let (costs, idle) = (&self.settings.prices, self.workers[i].idle_since.last());
+        let limit = self.settings.idle_limit.secs().min(self.safe_idle_s);
+        let [near, far] = self.late_starts;
+        let cross =
+            costs.cross_zone > 0.0 && self.is_remote(i) && near - far <= costs.cross_zone + CROSS_MARGIN;
+        (cross, costs.handshake > 0.0 && idle.is_none_or(|since| self.now_s - since >= limit))
     }
 
-    /// `C = (QL + 1) * PT + CD`, over the chance that the attempt succeeds.
+    /// Returns `C = (QL + 1) * PT + CD`, divided by the probability that the attempt succeeds.
     fn price(&self, request: &Request, i: usize, queue: f64, time: f64, new: bool) -> f64 {
-        let price = self.settings.prices.cross_zone * f64::from(u8::from(self.away(i)))
+        let penalty = self.settings.prices.cross_zone * f64::from(u8::from(self.is_remote(i)))
             + self.settings.prices.handshake * f64::from(u8::from(new));
-        let transfer = self.workers[i].transfer + price * request.aim;
-        (((queue + 1.0) * time + transfer) / (1.0 - self.fails(i, request.class)).max(0.05)).max(FLOOR)
+        let cost = self.workers[i].transfer_s + penalty * request.target;
+        (((queue + 1.0) * time + cost) / (1.0 - self.failure_chance(i, request.class)).max(0.05))
+            .max(MIN_PRICE)
     }
 
-    /// Draws a ready worker in proportion to `1 / C`.
-    pub(super) fn draw(&mut self, id: RequestId, avoid: Option<usize>) -> Option<usize> {
+    /// Draws a ready worker at random, with a probability in proportion to `1 / C`.
+    pub(super) fn draw_worker(&mut self, id: RequestId, avoid: Option<usize>) -> Option<usize> {
         let request = self.requests.remove(&id)?;
         let (mut candidates, mut total) = (Vec::new(), 0.0);
-        // Where crossing or a new connection has a price: home comes first, then an open connection.
+        // Where crossing or a new connection has a price: the local zone first, then an open connection.
         let mut least = (true, true);
         for i in 0..self.workers.len() {
-            // Whoever was put back gets one request soon, and whoever erred with this one is asked last.
-            let erred = request.attempts.iter().any(|a| a.worker == i && a.ended == Some(Outcome::Error));
-            let extra = if erred { (true, true) } else { self.extra(i) };
+            // A worker back from a drain gets one request soon; one that failed this request comes last.
+            let failed = request.attempts.iter().any(|a| a.worker == i && a.outcome == Some(Outcome::Error));
+            let extra = if failed { (true, true) } else { self.extra_cost(i) };
             let extra = if self.workers[i].returned { (false, false) } else { extra };
-            if extra > least || Some(i) == avoid || !self.allowed(&request, i) {
+            if extra > least || Some(i) == avoid || !self.is_allowed(&request, i) {
                 continue;
             }
-            let (queue, time) = (self.queue(i).max(0.0), request.work * self.slowness(i) / self.warmth(i));
-            if self.ready(&request, i, queue, time) {
+            let (queue, time) =
+                (self.queue_len(i).max(0.0), request.work * self.slowness(i) / self.warm_up(i));
+            if self.is_ready(&request, i, queue, time) {
                 if extra < least {
                     candidates.clear();
                     (least, total) = (extra, 0.0);
