--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
-//! The module's interface: settings, events, actions, ids and times. Nothing here decides.
+//! The balancer's interface: settings, events, actions, ids and times. Contains no decisions.
 //!
-//! The host interns every name (worker, class, tenant, zone, machine kind) to a small dense number
-//! before it reaches the library and keeps the tables to turn numbers back into names.
+//! The host maps every name (worker, class, tenant, zone, machine kind) to a small dense number before it
+//! reaches the library, and keeps the tables that turn numbers back into names.
 
 mod events;
 mod settings;
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,16 +1,16 @@
-//! What the host tells the dispatcher, and what the dispatcher tells it to do. It owns the form of both and
-//! of what they carry: lists, reports, outcomes, requests. It must never decide anything.
+//! Events from the host to the balancer, actions from the balancer to the host, and the data that they carry:
+//! lists, reports, outcomes, requests. Contains no decisions.
 
 use super::*;
 
-/// What the list says of a worker.
+/// The state of a worker by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its work and accepts none.
     Draining,
-    /// It is removed.
+    /// It has been removed.
     Gone,
 }
 
@@ -23,67 +23,67 @@
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: KindId,
-    /// Its cell: workers that share knowledge of keys seen.
+    /// Its cell: workers of a cell share the idempotency keys that they have seen.
     pub cell: u32,
-    /// What the list says of it.
+    /// Its state.
     pub state: WorkerState,
-    /// Its size beside other workers' sizes, where [`Settings::sized`].
+    /// Its size relative to other workers, where [`Settings::has_worker_sizes`].
     pub size: f64,
-    /// When its process last started; `None` if long past.
+    /// When its process last started; `None` if that is long past.
     pub up_since: Option<Time>,
 }
 
 impl ListEntry {
-    /// A try sent there, as a repeat of it is bound.
+    /// Returns an attempt sent to this worker in the form that restricts its repeats.
     pub fn prior_attempt(&self, sent_at: Time) -> PriorAttempt {
         PriorAttempt { zone: self.zone, cell: self.cell, sent_at }
     }
 }
 
-/// How a list relates to the one held.
+/// How a list relates to the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The list as last held before a restart; may be out of date.
+    /// The list as saved before a restart; it may be out of date.
     Saved,
-    /// The whole list: who is not on it is gone.
+    /// The whole list: workers missing from it are gone.
     Full,
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Delta,
 }
 
-/// A worker's load report; what it does not tell is `None`.
+/// A worker's load report; values that it does not contain are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests in hand.
+    /// Requests in progress.
     pub inflight: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time, without time in the queue.
     pub latency: Option<Span>,
     /// Free slots.
     pub free_slots: Option<f64>,
     /// Free memory.
     pub free_memory: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The worker served it.
     Ok,
     /// The worker answered with an error; the job may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected because the worker is full; the job never ran.
     Full,
-    /// No answer in the time allowed; the job may have run.
+    /// No answer within the timeout; the job may have run.
     Timeout,
-    /// No connection; the job never ran.
+    /// The connection could not be opened; the job never ran.
     ConnectFailed,
     /// The connection broke; the job may have run.
     Reset,
-    /// Withdrawn; the job may have run.
+    /// Cancelled by the dispatcher; the job may have run.
     Cancelled,
-    /// Never sent.
+    /// Never sent; the job never ran.
     Moot,
 }
 
@@ -94,12 +94,12 @@
     }
 }
 
-/// What a note tells of an attempt that is still outstanding.
+/// An update on an attempt that is still outstanding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptUpdate {
     /// The job has started.
     Started,
-    /// This share of it is done.
+    /// This fraction of the job is done.
     Progress(f64),
 }
 
@@ -112,21 +112,21 @@
     pub class: ClassId,
     /// Its tenant, if it has one.
     pub tenant: Option<TenantId>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Time,
-    /// Slots it takes while it runs.
+    /// Slots that it occupies while it runs.
     pub slots: f64,
-    /// Memory it takes, where that is counted.
+    /// Memory that it occupies, where that is counted.
     pub memory: f64,
-    /// Its running time as the client expects it, on a machine of usual speed; zero if it does not say.
+    /// The running time that the client expects on a machine of usual speed (the hint); zero if unknown.
     pub estimate: Span,
-    /// The client marks it as a later try.
+    /// Whether the client marks it as a retry.
     pub retry: bool,
-    /// An earlier try of it may have run, and where: a repeat is bound to that as to an own attempt.
+    /// Where an earlier try of it may have run; it restricts this one as an attempt of its own would.
     pub prior: Option<PriorAttempt>,
 }
 
-/// Where and when a try that may have run was sent.
+/// Where and when an attempt that may have run was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
     /// The zone.
@@ -138,9 +138,9 @@
 }
 
 impl PriorAttempt {
-    /// Whether a worker drops repeats of what was sent there, where the group remembers them.
-    pub fn deduplicated_by(&self, group: DedupScope, entry: &ListEntry) -> bool {
-        match group {
+    /// Whether a worker would drop a repeat of this attempt, given the scope of deduplication.
+    pub fn deduplicated_by(&self, scope: DedupScope, entry: &ListEntry) -> bool {
+        match scope {
             DedupScope::All => true,
             DedupScope::Zone => self.zone == entry.zone,
             DedupScope::Cell => self.zone == entry.zone && self.cell == entry.cell,
@@ -148,26 +148,26 @@
     }
 }
 
-/// What the host tells the dispatcher.
+/// An event that the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A worker list.
     List(ListKind, Vec<ListEntry>),
-    /// A call for the list failed, or the subscription broke.
+    /// A request for the list failed, or the subscription broke.
     ListFailed,
-    /// The subscription has fallen silent: it stands, but news may be missed from its last sign of life on.
+    /// The subscription is open but silent: changes since its last sign of life may have been missed.
     ListSilent,
-    /// The list is asked for elsewhere from now on, and the call for it is made.
+    /// The list now comes from another address, where the host has already requested it.
     DiscoveryMoved,
     /// A request has arrived.
     Arrival(Arrival),
-    /// The request is closed: its client has left.
+    /// The client no longer waits for the request.
     RequestClosed(RequestId),
-    /// Another client waits for the request too, up to this deadline.
+    /// Another client waits for the same request, up to this deadline.
     DeadlineExtended(RequestId, Time),
-    /// The streamed answer of this attempt has begun; the attempt is the client's now.
+    /// The attempt's answer is being streamed to the client, so the attempt is no longer cancelled or moved.
     StreamStarted(RequestId, u32),
-    /// News of an outstanding attempt.
+    /// An update on an outstanding attempt.
     AttemptUpdate(RequestId, u32, AttemptUpdate),
     /// An attempt has ended.
     Ended {
@@ -177,39 +177,39 @@
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// The request is closed, by this outcome or earlier.
+        /// Whether the request is closed, by this outcome or before.
         closed: bool,
-        /// The worker's report, if one came along.
+        /// The worker's report, if the answer carried one.
         report: Option<Report>,
     },
-    /// A probe has come back: whether it succeeded, and the report.
+    /// A probe has ended: whether it succeeded, and the report.
     Probed(WorkerId, bool, Option<Report>),
-    /// New settings hold from now on. Classes and tenants keep their numbers, and classes left off the end
-    /// stay as they were. What is under way makes no more attempts than both settings allow.
+    /// New settings apply. Classes and tenants keep their numbers; classes missing at the end stay as they
+    /// were. Open requests make no more attempts than both the old and the new settings allow.
     SettingsChanged(Box<Settings>),
     /// A timer set by [`Action::Timer`] is due.
     Timer(u64),
 }
 
-/// What the dispatcher tells the host to do, in this order.
+/// An action for the host; actions are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the request's next attempt at this worker; attempts count from 0.
+    /// Start the request's next attempt at this worker; attempts are numbered from 0.
     Send(RequestId, WorkerId),
     /// Stop waiting for an attempt.
     Cancel(RequestId, u32),
-    /// Final answer: refused; a retry does no harm, but not before this span has passed.
+    /// Final answer: refused; a retry is harmless, after this hold-off.
     Refuse(RequestId, Span),
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: failed; a retry may not be harmless.
     Fail(RequestId),
     /// Deliver [`Event::Timer`] with this token at this time.
     Timer(Time, u64),
-    /// Ask for list changes from now on.
+    /// Subscribe to list changes.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Request the whole list once.
     Fetch,
-    /// Ask a worker for its load.
+    /// Probe a worker for its load.
     Probe(WorkerId),
-    /// Close the idle connections to a worker, so that the next attempt opens a new one.
+    /// Close the idle connections to a worker, so that its next attempt opens a new one.
     CloseIdle(WorkerId),
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,110 +1,110 @@
-//! What a dispatcher is told at its start: classes, tenants, prices and the rules that hold. It owns their
-//! form and their defaults, not their values. It must never decide anything.
+//! The settings of a dispatcher and their defaults: classes, tenants, prices and rules. Contains no
+//! decisions.
 
 use super::*;
 
-/// What repeating a request of a class may do.
+/// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated freely.
+    /// It may be repeated without restriction.
     Safe,
-    /// Repeats are dropped by the workers of one group for as long as the class's window.
+    /// Workers within this scope drop repeats for as long as the class's window.
     Keyed(DedupScope),
     /// It must never run twice.
     Unsafe,
 }
 
-/// The workers that drop each other's repeats of a keyed request.
+/// The workers that share the idempotency keys that they have seen, and so drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
 /// A class of request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time, plus the stretch, is in time.
+    /// An answer within the target is in time; the target is this time plus the stretch.
     pub objective: Span,
-    /// The aim grows by this multiple of the request's own running time.
+    /// The target grows by this multiple of the request's own running time.
     pub stretch: f64,
-    /// The client's patience over all its tries.
+    /// How long the client waits, over all its tries.
     pub deadline: Span,
-    /// Worth of an answer in time.
+    /// The worth of an answer in time.
     pub worth: f64,
-    /// Share of the worth that an answer between aim and deadline still has.
+    /// The share of the worth that an answer between target and deadline still has.
     pub late_worth: f64,
-    /// What a repeat may do.
+    /// Whether a request may be repeated.
     pub idempotency: Idempotency,
-    /// Keyed classes: how long repeats are dropped.
+    /// For keyed classes: how long repeats are dropped.
     pub window: Span,
-    /// The one machine kind that runs this class, if it is bound to one.
+    /// The only machine kind that runs this class, if it is restricted to one.
     pub kind: Option<KindId>,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all dispatchers, within its share.
+    /// Its share: requests per second over all dispatchers.
     pub quota_per_s: f64,
 }
 
-/// How the worker list is learned.
+/// How the worker list arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed without a request.
     Pushed,
-    /// They arrive only after [`Action::Subscribe`] or [`Action::Fetch`].
+    /// Changes arrive only after [`Action::Subscribe`] or [`Action::Fetch`].
     OnRequest,
-    /// The same, from an agent of this machine's own: what it holds counts as told, watched or not.
+    /// The same, from an agent on this machine: what the agent has counts as reported, watched or not.
     Agent,
 }
 
-/// Points taken off the result, as fractions of the worth asked for.
+/// Penalties that reduce the result, as fractions of the worth requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// For each attempt that crosses zones, per request.
     pub cross_zone: f64,
     /// For each new connection, per request.
     pub handshake: f64,
-    /// For work that produced no answer, as a fraction of the work asked for.
+    /// For work that produced no answer, as a fraction of the work requested.
     pub waste: f64,
     /// For each probe, per request.
     pub probe: f64,
-    /// For worth that stays unserved after its aim has passed, as a fraction of the worth asked for.
+    /// For worth that is still unserved after its target, as a fraction of the worth requested.
     pub late_fail: f64,
 }
 
-/// How many attempts beyond each request's first a dispatcher may make within any window of a length.
+/// The retry budget: how many attempts beyond first ones a dispatcher may make within any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// As many in any case ...
+    /// This number in any case ...
     pub floor: f64,
-    /// ... and this share of the requests taken within the window.
+    /// ... plus this share of the requests admitted within the window.
     pub ratio: f64,
     /// The window's length.
     pub window: Span,
 }
 
-/// What the result weighs beside the worth served: misses of the aim, by class and few seconds.
+/// The part of the result that counts missed targets, by class and intervals of a few seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tail {
-    /// Weight of that part; zero if there is none.
+    /// The weight of that part; zero if there is none.
     pub weight: f64,
-    /// The share of misses that is tolerated; a refusal within the aim is none.
+    /// The share of misses that is tolerated; a refusal within the target is not a miss.
     pub tolerated: f64,
 }
 
-/// All a dispatcher is told at its start.
+/// The settings of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of dispatchers that share the workers.
+    /// The number of dispatchers that share the workers.
     pub dispatchers: u32,
-    /// The number of this one among them, from 0.
+    /// The index of this one among them, from 0.
     pub number: u32,
     /// The zone of this one, if it has one.
     pub zone: Option<ZoneId>,
@@ -112,72 +112,75 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a fraction of the usual.
+    /// The worth of a request beyond its tenant's share, as a fraction of the usual worth.
     pub over_share_worth: f64,
-    /// The prices of what a dispatcher does.
+    /// Penalties for what the dispatcher does.
     pub prices: Prices,
-    /// How the list is learned.
+    /// How the worker list arrives.
     pub discovery: Discovery,
-    /// Least time between two batches of events.
+    /// The minimum time between two batches of events.
     pub tick: Span,
-    /// Workers tell when a job starts.
+    /// Whether workers report the start of a job.
     pub reports_start: bool,
-    /// Time between a running job's progress notes; zero if there are none.
+    /// The time between a running job's progress updates; zero if there are none.
     pub progress: Span,
-    /// Attempts may be withdrawn.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Workers may be probed.
+    /// Whether workers may be probed.
     pub probing: bool,
-    /// Two attempts of a request may be outstanding together.
+    /// Whether a request may have two outstanding attempts.
     pub parallel_attempts: bool,
     /// A connection that has been idle for this long is closed.
     pub idle_limit: Span,
-    /// Most attempts for a request.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// The bound on attempts beyond the first, if there is one.
+    /// The retry budget, if the rules state one.
     pub budget: Option<Budget>,
-    /// What the result weighs in misses.
+    /// How missed targets count in the result.
     pub tail: Tail,
-    /// Worth counts for each unit of work, not for each request.
+    /// Whether worth counts per unit of work, not per request.
     pub worth_by_work: bool,
-    /// Clients mark their later tries.
+    /// Whether clients mark their retries.
     pub marked_retries: bool,
-    /// The list's sizes are those of the workers, at least roughly.
+    /// Whether the list states the workers' sizes, at least roughly.
     pub has_worker_sizes: bool,
-    /// Clients hear how long to stay away, up to this; zero if they do not.
+    /// The maximum hold-off sent to refused clients; zero if none is sent.
     pub max_hold_off: Span,
-    /// How long after word of a drain sends to the worker must have ceased.
+    /// How long after notice of a drain sends to the worker must have stopped.
     pub drain_grace: Span,
-    /// Longest time between two calls for the list while there is no watch.
+    /// The maximum time between two requests for the list while there is no watch.
     pub max_poll_interval: Span,
-    /// From [`Event::ListSilent`] on, the time after which what the watch can't tell counts as told: 6 s
-    /// after its last sign of life by the protocol, less the 2.5 s after which it counts as silent and some room.
+    /// How long the list stays valid after [`Event::ListSilent`]. By the protocol, changes that the watch
+    /// missed count as reported 6 s after its last sign of life; it counts as silent after 2.5 s, and some
+    /// room is left.
     pub validity_after_silence: Span,
-    /// The same from any other loss of the watch on: it is noticed at once.
+    /// How long the list stays valid after any other loss of the watch, which is noticed at once.
     pub validity_after_loss: Span,
-    /// How long from the start a saved list may be used where lists are asked for. The sockets' protocol does not
-    /// tell how old it is, so that it may have missed any change: none there. The simulator's rules allow more.
+    /// How long after the start a saved list may be used, where lists are requested. Zero with the socket
+    /// protocol: it does not state the list's age, so any change may have been missed. The simulator's rules
+    /// allow more.
     pub saved_list_validity: Span,
-    /// How old a report of any worker is at the most, in seconds, while all of them keep coming; none where they come
-    /// by chance.
+    /// The maximum age of any worker's report, in seconds, where reports arrive regularly; `None` where they
+    /// arrive by chance.
     pub report_age_s: Option<f64>,
-    /// Each failed call begins `validity_after_loss` anew while the list still holds: the simulator's rule. On sockets a change
-    /// counts as told 6 s after it could be had, whatever has failed since: never there.
+    /// Whether each failed request for the list restarts `validity_after_loss` while the list is still valid.
+    /// This is the simulator's rule. With the socket protocol it is false: there a change counts as reported
+    /// 6 s after it was available, whatever has failed since.
     pub failed_calls_renew_validity: bool,
-    /// Only an entry that says draining binds; one that is gone or left out may still be sent to.
+    /// Whether only a draining entry excludes a worker; one that is gone or missing may still be sent to.
     pub only_draining_excludes: bool,
-    /// A worker starts at this share of its capacity or above.
+    /// A worker starts with this share of its capacity or more.
     pub cold_from: f64,
-    /// It is warm after this at the latest.
+    /// A worker has its full capacity after this time at the latest.
     pub warm_after: Span,
-    /// More than this multiple of its present capacity ...
+    /// A worker in slow start fails under more than this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... for this long pushes a cold worker over.
+    /// ... if that lasts this long.
     pub fall_after: Span,
 }
 
 impl Default for Settings {
-    /// One dispatcher in one zone, a pushed list, no tenants and no classes yet: a start to fill in.
+    /// One dispatcher, a pushed list, no tenants and no classes: a base to fill in.
     fn default() -> Settings {
         Settings {
             dispatchers: 1,
--- a/src/interface/units.rs
+++ b/src/interface/units.rs
@@ -1,23 +1,23 @@
-//! Moments, lengths of time and the numbers that stand for names. It owns their arithmetic, which neither
-//! overflows nor goes below zero. It must never read a clock, nor decide anything.
+//! Times, durations and ids. Their arithmetic saturates: it neither overflows nor goes below zero. Contains
+//! no clock and no decisions.
 
 use std::ops::{Add, Sub};
 
-/// A moment on the host's clock, in nanoseconds from an arbitrary start.
+/// A point in time on the host's clock, in nanoseconds from an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A length of time, in nanoseconds.
+/// A duration in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// This length in seconds.
+    /// Returns the duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// A length from seconds; negative and senseless values become zero.
+    /// Returns a duration of so many seconds; negative values and NaN become zero.
     pub fn from_secs(secs: f64) -> Span {
         Span((secs * 1e9).max(0.0) as u64)
     }
@@ -32,7 +32,7 @@
 
 impl Sub<Time> for Time {
     type Output = Span;
-    /// The time from `earlier` to `self`; zero if `earlier` is the later one.
+    /// Returns the time from `earlier` to `self`; zero if `earlier` is later.
     fn sub(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -54,9 +54,9 @@
 }
 
 id! {
-    /// A worker, numbered from 0 in the order in which lists named it.
+    /// A worker, numbered from 0 in the order in which lists first named it.
     WorkerId,
-    /// A request; never used twice.
+    /// A request; ids are never reused.
     RequestId,
     /// A class of request: an index into [`Settings::classes`](super::Settings::classes).
     ClassId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! The decisions of a dispatcher that pushes jobs to workers.
 //!
-//! Every worker has a price, `C = (QL + 1) * PT + CD`: its queue, its time per job, the way to it.
-//! A job goes to a ready worker with a probability in proportion to `1 / C`. [`Balancer`] keeps the
-//! ledger behind the prices, judges who is ready, holds what fits nowhere yet, and answers for
-//! time-outs, further attempts, refusals, drains and cold starts.
+//! Every worker has a price, `C = (QL + 1) * PT + CD`: its queue length, its time per job, and the time to
+//! reach it. A job goes to a ready worker with a probability in proportion to `1 / C`. [`Balancer`] keeps the
+//! estimates behind the prices, decides which workers are ready, queues requests that find none, and handles
+//! timeouts, retries, refusals, drains and slow start.
 //!
-//! The library does no input or output and reads no clock: the host hands in events with their
-//! time and carries out the actions it gets back. The same events and seed give the same actions.
+//! The library performs no I/O and reads no clock: the host passes in events with their time and executes the
+//! actions that are returned. The same events and seed give the same actions.
 //!
 //! ```
 //! use sablerun::*;
@@ -58,7 +58,7 @@
 pub use balance::Balancer;
 pub use interface::*;
 
-/// The README's example, so that it keeps compiling.
+/// The README's example, run as a doc test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
