--- a/benchlink/src/host.rs
+++ b/benchlink/src/host.rs
@@ -1,12 +1,13 @@
-//! The instances of one process: names to numbers and back, events in, actions out.
+//! The dispatcher instances of this process: translates the wire's events for the balancer and its actions
+//! for the wire, with names mapped to numbers and back.
 
-use crate::wire::{Batch, Entry, Event, Row};
+use crate::wire::{Batch, Entry, Event, ReportRow};
 use sablerun as sr;
 use sablerun_settings::{Env, NameTable, Tables};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// One dispatcher and the names that it was told.
+/// One dispatcher and its name tables.
 struct Instance {
     balancer: sr::Balancer,
     tables: Tables,
@@ -15,7 +16,7 @@
 impl Instance {
     fn new(seed: u64, now: sr::Time, env: &Env) -> Result<Instance, String> {
         let (mut settings, tables) = env.to_settings().map_err(|e| format!("PROVISION.env: {e}"))?;
-        // The simulator's own clock: four times the time for asking, anew from each call that fails.
+        // The simulator's rule: the list is valid for four polling intervals, anew from each failed call.
         settings.validity_after_loss = sr::Span(settings.max_poll_interval.0.saturating_mul(4));
         settings.saved_list_validity = settings.validity_after_loss;
         settings.failed_calls_renew_validity = true;
@@ -23,7 +24,7 @@
         Ok(Instance { balancer, tables })
     }
 
-    fn report(&self, row: Row) -> Option<sr::Report> {
+    fn report(&self, row: ReportRow) -> Option<sr::Report> {
         row.map(|row| self.tables.report(row))
     }
 
@@ -69,19 +70,19 @@
 }
 
 impl Host {
-    /// Hands a batch to its instances and writes the reply, without its line end.
-    pub fn answer(&mut self, batch: Batch<'_>, reply: &mut String) -> Result<(), String> {
+    /// Passes a batch to its instances and writes the reply, without a line end.
+    pub fn handle_batch(&mut self, batch: Batch<'_>, reply: &mut String) -> Result<(), String> {
         let now = sr::Time(batch.at);
         reply.push_str("{\"outbox\":[");
         let start = reply.len();
         for event in batch.happened {
-            self.take(now, event, reply, start)?;
+            self.handle_event(now, event, reply, start)?;
         }
         reply.push_str("]}");
         Ok(())
     }
 
-    fn take(
+    fn handle_event(
         &mut self,
         now: sr::Time,
         event: Event<'_>,
@@ -109,7 +110,7 @@
                     "FAILED" => None,
                     other => return Err(format!("TARGETS.mode: {other:?}")),
                 };
-                let instance = find(&mut self.instances, i, "TARGETS")?;
+                let instance = find_instance(&mut self.instances, i, "TARGETS")?;
                 let event = match kind {
                     None => sr::Event::ListFailed,
                     Some(kind) => {
@@ -133,7 +134,7 @@
                 needs,
                 tenant,
             } => {
-                let instance = find(&mut self.instances, i, "JOB_IN")?;
+                let instance = find_instance(&mut self.instances, i, "JOB_IN")?;
                 let class = instance
                     .tables
                     .classes
@@ -157,21 +158,21 @@
                 (i, Some(sr::Event::StreamStarted(sr::RequestId(request), attempt)))
             }
             Event::Pong { instance: i, worker, status, row } => {
-                let instance = find(&mut self.instances, i, "PONG")?;
+                let instance = find_instance(&mut self.instances, i, "PONG")?;
                 let report = instance.report(row);
                 let Some(worker) = instance.tables.workers.get(&worker.0) else { return Ok(()) };
                 (i, Some(sr::Event::Probed(sr::WorkerId(worker), status == 0, report)))
             }
             Event::Change(i, request, attempt, kind, level) => {
-                let note = match kind {
+                let update = match kind {
                     1 => sr::AttemptUpdate::Started,
                     2 => sr::AttemptUpdate::Progress(level.unwrap_or(0.0)),
                     _ => return Ok(()),
                 };
-                (i, Some(sr::Event::AttemptUpdate(sr::RequestId(request), attempt, note)))
+                (i, Some(sr::Event::AttemptUpdate(sr::RequestId(request), attempt, update)))
             }
             Event::Done { instance: i, request, attempt, closed, status, row } => {
-                let instance = find(&mut self.instances, i, "DONE")?;
+                let instance = find_instance(&mut self.instances, i, "DONE")?;
                 let event = sr::Event::Ended {
                     request: sr::RequestId(request),
                     attempt,
@@ -188,7 +189,7 @@
                 return Ok(());
             }
         };
-        let instance = find(&mut self.instances, i, "event")?;
+        let instance = find_instance(&mut self.instances, i, "event")?;
         if let Some(event) = event {
             instance.balancer.handle(now, event, &mut self.actions);
         }
@@ -196,13 +197,13 @@
             if reply.len() > start {
                 reply.push(',');
             }
-            write(i, &action, &instance.tables.workers, reply);
+            write_action(i, &action, &instance.tables.workers, reply);
         }
         Ok(())
     }
 }
 
-fn find<'a>(
+fn find_instance<'a>(
     instances: &'a mut BTreeMap<u32, Instance>,
     i: u32,
     event: &str,
@@ -210,8 +211,8 @@
     instances.get_mut(&i).ok_or_else(|| format!("{event}.i: instance {i} was never started"))
 }
 
-fn write(i: u32, action: &sr::Action, workers: &NameTable, out: &mut String) {
-    let done = match *action {
+fn write_action(i: u32, action: &sr::Action, workers: &NameTable, out: &mut String) {
+    let result = match *action {
         sr::Action::Send(request, worker) => {
             write!(out, "[\"DELIVER\",{i},{},{},0]", request.0, workers.quoted(worker.0))
         }
@@ -228,5 +229,5 @@
             write!(out, "[\"RELEASE\",{i},{}]", workers.quoted(worker.0))
         }
     };
-    done.expect("writing to a string cannot fail");
+    result.expect("writing to a string cannot fail");
 }
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts dispatchers on the simulator's wire: a batch of events a line on standard input, one
-//! reply a line on standard output. It only translates; every decision is the library's.
+//! Runs dispatchers for the simulator: reads a batch of events per line from standard input and writes a
+//! reply per line to standard output. Only translates; all decisions are in the library.
 
 mod host;
 mod wire;
@@ -31,7 +31,7 @@
         }
         let batch: wire::Batch = serde_json::from_str(&line).map_err(|e| format!("not a batch: {e}"))?;
         reply.clear();
-        host.answer(batch, &mut reply)?;
+        host.handle_batch(batch, &mut reply)?;
         reply.push('\n');
         output
             .write_all(reply.as_bytes())
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's values, decoded straight from the text.
+//! The types of the simulator's wire format, decoded directly from the text of a line.
 
 use sablerun_settings::Env;
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, SeqAccess, Visitor};
@@ -8,7 +8,7 @@
 /// One line of input.
 #[derive(serde::Deserialize)]
 pub struct Batch<'a> {
-    /// The clock, in nanoseconds.
+    /// The current time, in nanoseconds.
     #[serde(rename = "atTime")]
     pub at: u64,
     /// The events, in the order in which they arrived.
@@ -16,7 +16,7 @@
     pub happened: Vec<Event<'a>>,
 }
 
-/// Text that is borrowed from the line where it holds no escapes.
+/// Text that is borrowed from the line if it contains no escapes.
 #[derive(serde::Deserialize)]
 pub struct Text<'a>(#[serde(borrow)] pub Cow<'a, str>);
 
@@ -24,16 +24,16 @@
 #[derive(serde::Deserialize)]
 pub struct Entry(pub String, pub String, pub String, pub u32, pub String, pub Option<f64>, pub Option<u64>);
 
-/// A load report: one value for each of the settings' fields.
-pub type Row = Option<Vec<Option<f64>>>;
+/// A load report: one value for each field named in the settings.
+pub type ReportRow = Option<Vec<Option<f64>>>;
 
 /// An event; the first number is the instance.
 pub enum Event<'a> {
     /// An instance starts, with its seed and settings.
     Provision(u32, u64, Box<Env>),
-    /// A numbered list, for `Targets` to name.
+    /// A numbered page of list entries, which `Targets` refers to.
     Page(usize, Vec<Entry>),
-    /// List news: mode and page.
+    /// A list update: mode and page.
     Targets(u32, Text<'a>, Option<usize>),
     /// A request has arrived.
     JobIn {
@@ -52,18 +52,18 @@
     /// A streamed answer has begun: request, attempt.
     Begun(u32, u32, u32),
     /// A probe's result.
-    Pong { instance: u32, worker: Text<'a>, status: u32, row: Row },
-    /// News of an attempt: request, attempt, kind, level.
+    Pong { instance: u32, worker: Text<'a>, status: u32, row: ReportRow },
+    /// An update on an attempt: request, attempt, kind, level.
     Change(u32, u32, u32, u32, Option<f64>),
     /// An attempt's result.
-    Done { instance: u32, request: u32, attempt: u32, closed: bool, status: u32, row: Row },
+    Done { instance: u32, request: u32, attempt: u32, closed: bool, status: u32, row: ReportRow },
     /// A timer: token.
     TimeoutFired(u32, u64),
     /// The instance is killed.
     CrashNow(u32),
-    /// A message from a peer: shared state, which the library has no use for.
+    /// A message from a peer, with shared state that the library does not use.
     Inbox,
-    /// An event that this adapter does not know.
+    /// An event unknown to this adapter.
     Unknown(String),
 }
 
@@ -75,7 +75,7 @@
 
 struct EventVisitor;
 
-/// Reads the next value of an event; a wrong one is reported by event and field.
+/// Reads the next value of an event; errors name the event and the field.
 fn field<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(
     seq: &mut A,
     event: &str,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Reads a value that may be null or left off the end.
+/// Reads a value that may be null or missing at the end.
 fn optional<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(
     seq: &mut A,
     event: &str,
@@ -178,7 +178,7 @@
     }
 }
 
-/// A tenant's name; sites without tenants may write 0.
+/// A tenant's name; sites without tenants may send 0.
 struct TenantName<'a>(Option<Text<'a>>);
 
 impl<'de: 'a, 'a> Deserialize<'de> for TenantName<'a> {
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: the wire page's kinds of message, restarts, and malformed lines.
+//! Runs the adapter as a process: every kind of message, restarts, and malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -23,7 +23,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // An adapter that stops at a bad line closes its input; what it answered before still counts.
+    // An adapter that stops at a malformed line closes its input; earlier replies still count.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -87,9 +87,9 @@
     ];
     let output = run(&input.concat());
     assert_eq!(replies(&output).len(), 2);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains("SOMETHING_NEW"), "{told}");
-    assert_eq!(told.lines().count(), 1, "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("SOMETHING_NEW"), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
 
 #[test]
@@ -115,20 +115,22 @@
 }
 
 #[test]
-fn what_is_malformed_ends_the_adapter_with_one_plain_message() {
-    let begun = batch(8_000_000_000, &[&start(3), PAGE, r#"["TARGETS",3,"SAVED",0,41]"#]);
-    let senseless = start(3).replace("\"balancers\": 4", "\"balancers\": 0");
+fn malformed_input_ends_the_adapter_with_one_message() {
+    let started = batch(8_000_000_000, &[&start(3), PAGE, r#"["TARGETS",3,"SAVED",0,41]"#]);
+    let no_dispatchers = start(3).replace("\"balancers\": 4", "\"balancers\": 0");
     let rules = "\"answerSlack\": 20000000,";
-    let half = start(3).replace(rules, &format!("{rules} \"extraFloor\": 3, \"lookBack\": 5000000000,"));
-    let over = start(3).replace(
+    let partial_budget =
+        start(3).replace(rules, &format!("{rules} \"extraFloor\": 3, \"lookBack\": 5000000000,"));
+    let ratio_above_one = start(3).replace(
         rules,
         &format!("{rules} \"extraFloor\": 3, \"repeatRatio\": 1.5, \"lookBack\": 5000000000,"),
     );
-    let odd = start(3).replace("\"balancers\": 4", "\"balancers\": 4, \"goal\": {\"tailPart\": -1}");
+    let negative_tail =
+        start(3).replace("\"balancers\": 4", "\"balancers\": 4, \"goal\": {\"tailPart\": -1}");
     let cases = [
-        (batch(1, &[&half]), "go together"),
-        (batch(1, &[&over]), "budget.ratio"),
-        (batch(1, &[&odd]), "tail.weight"),
+        (batch(1, &[&partial_budget]), "go together"),
+        (batch(1, &[&ratio_above_one]), "budget.ratio"),
+        (batch(1, &[&negative_tail]), "tail.weight"),
         (
             batch(1, &[&JOB.replace("false,null,null,\"stock\"", "false,null,-5,\"stock\"")]),
             "JOB_IN.estimate",
@@ -145,35 +147,35 @@
         (batch(1, &[r#"["TARGETS",3,"SIDEWAYS",0,41]"#]), "TARGETS.mode"),
         (batch(1, &[r#"["TARGETS",3,"FULL",9,41]"#]), "TARGETS.page"),
         (batch(1, &[r#"["TIMEOUT_FIRED",8,77]"#]), "instance 8"),
-        (batch(1, &[&senseless]), "dispatchers"),
+        (batch(1, &[&no_dispatchers]), "dispatchers"),
         (batch(1, &[&PAGE.replace("\"ready\"", "\"asleep\""), r#"["TARGETS",3,"FULL",0,1]"#]), "asleep"),
     ];
     for (line, part) in cases {
-        let output = run(&format!("{begun}{line}"));
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        let output = run(&format!("{started}{line}"));
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}");
-        assert!(told.contains(part), "{line}: {told}");
-        assert_eq!(told.lines().count(), 1, "{told}");
+        assert!(stderr.contains(part), "{line}: {stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
         let written = String::from_utf8(output.stdout).expect("UTF-8");
         assert_eq!(written.lines().count(), 1, "nothing half-written: {written}");
         assert!(written.ends_with("]}\n"));
     }
 }
 
-/// A site with a budget of one attempt, where only draining binds: a worker left out of the list is still used,
-/// and what comes back full a second time is answered at once.
+/// A retry budget of one attempt, and only draining excludes workers: a worker missing from the list is still
+/// used, and a request that is rejected as full beyond the budget is refused at once.
 #[test]
 fn further_settings_reach_the_library() {
     let rules = "\"answerSlack\": 20000000,";
-    let stated =
+    let further =
         "\"extraFloor\": 1.0, \"repeatRatio\": 0.0, \"lookBack\": 5000000000, \"drainBindsAlone\": true,";
-    let full = |at: u64, job: u32, go: u32, worker: &str| {
+    let ended_full = |at: u64, job: u32, go: u32, worker: &str| {
         let done = format!(r#"["DONE",3,{job},null,{go},"{worker}",false,1000000,254,null]"#);
         batch(at, &[&done])
     };
-    let to = |reply: &str| if reply.contains("worker.a") { "worker.a" } else { "worker.b\\\"" };
+    let target = |reply: &str| if reply.contains("worker.a") { "worker.a" } else { "worker.b\\\"" };
     let mut input = [
-        batch(8_000_000_000, &[&start(3).replace(rules, &format!("{rules} {stated}")), PAGE]),
+        batch(8_000_000_000, &[&start(3).replace(rules, &format!("{rules} {further}")), PAGE]),
         batch(8_000_000_000, &[r#"["TARGETS",3,"SAVED",0,41]"#]),
         batch(8_000_000_000, &[r#"["PAGE",1,[]]"#, r#"["TARGETS",3,"FULL",1,42]"#]),
         batch(8_000_000_000, &[&JOB.replace("null,null,\"stock\",false", "null,12000000,\"stock\",true")]),
@@ -182,8 +184,8 @@
     .concat();
     let first = replies(&run(&input));
     assert!(first[3].contains("\"DELIVER\",3,77"), "gone does not bind: {}", first[3]);
-    input += &full(8_001_000_000, 77, 0, to(&first[3]));
-    input += &full(8_002_000_000, 78, 0, to(&first[4]));
+    input += &ended_full(8_001_000_000, 77, 0, target(&first[3]));
+    input += &ended_full(8_002_000_000, 78, 0, target(&first[4]));
     let all = replies(&run(&input));
     assert!(all[5].contains("\"DELIVER\",3,77"), "one further attempt: {}", all[5]);
     assert!(all[6].contains("\"REJECT\",3,78"), "and no second: {}", all[6]);
