--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -10,8 +10,8 @@
 use crate::metrics::TrafficSource;
 use crate::region_link::{Partition, RegionLink, View};
 use crate::scripted::Events;
-use calls::Caller;
-use lists::{Entries, Lists, change};
+use calls::Session;
+use lists::{Entries, Lists, change_object};
 use metrics::DiscoveryMetrics;
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -22,13 +22,13 @@
 use tokio::sync::{broadcast, watch};
 
 /// Most changes that a watch may be behind; one that falls further back ends.
-const BEHIND: usize = 1024;
+const MAX_WATCH_LAG: usize = 1024;
 /// Wait before a listener that ran out of descriptors tries again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 struct State {
     lists: Lists,
-    plan: VecDeque<PlannedReply>,
+    replies: VecDeque<PlannedReply>,
 }
 
 /// What a call gets in place of its due.
@@ -70,18 +70,18 @@
 #[derive(Clone)]
 enum Change {
     /// What is written, by view.
-    Told(Arc<Vec<String>>),
+    Lines(Arc<Vec<String>>),
     /// Watches end.
-    Broken,
+    CloseWatches,
 }
 
 /// The service.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
-    plan: Arc<Config>,
+    config: Arc<Config>,
     link: Arc<RegionLink>,
-    tally: Arc<DiscoveryMetrics>,
+    metrics: Arc<DiscoveryMetrics>,
     changes: broadcast::Sender<Change>,
     resumed: watch::Sender<usize>,
     /// The calls' first lines.
@@ -108,13 +108,13 @@
     /// If no address is free.
     pub async fn start_with_replies(
         hosts: Vec<Vec<Value>>,
-        calls: &[PlannedReply],
+        replies: &[PlannedReply],
     ) -> std::io::Result<Discovery> {
         let views = vec![View { region: 0, source: TrafficSource::Real }; hosts.len()];
         let dispatcher_views = (0..hosts.len()).collect();
-        let plan =
+        let config =
             Config { views, dispatcher_views, chunk_bytes: Some(37), indented: true, retained_changes: 0 };
-        Discovery::start_with_config(hosts, plan, calls).await
+        Discovery::start_with_config(hosts, config, replies).await
     }
 
     /// Serves each dispatcher the list of its view.
@@ -124,21 +124,21 @@
     /// If no address is free.
     pub async fn start_with_config(
         hosts: Entries,
-        plan: Config,
-        calls: &[PlannedReply],
+        config: Config,
+        replies: &[PlannedReply],
     ) -> std::io::Result<Discovery> {
         let mut listeners = Vec::new();
-        for _ in &plan.dispatcher_views {
+        for _ in &config.dispatcher_views {
             listeners.push(TcpListener::bind("127.0.0.1:0").await?);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let lists = Lists::new(hosts, plan.retained_changes);
+        let lists = Lists::new(hosts, config.retained_changes);
         let discovery = Discovery {
-            state: Arc::new(Mutex::new(State { lists, plan: calls.iter().copied().collect() })),
-            plan: Arc::new(plan),
+            state: Arc::new(Mutex::new(State { lists, replies: replies.iter().copied().collect() })),
+            config: Arc::new(config),
             link: Arc::default(),
-            tally: Arc::default(),
-            changes: broadcast::channel(BEHIND).0,
+            metrics: Arc::default(),
+            changes: broadcast::channel(MAX_WATCH_LAG).0,
             resumed: watch::channel(0).0,
             request_lines: Events::default(),
             addresses,
@@ -151,8 +151,8 @@
                         tokio::time::sleep(ACCEPT_PAUSE).await;
                         continue;
                     };
-                    let caller = Caller::new(discovery.clone(), dispatcher, Connection::new(stream));
-                    tokio::spawn(caller.serve());
+                    let session = Session::new(discovery.clone(), dispatcher, Connection::new(stream));
+                    tokio::spawn(session.serve());
                 }
             });
         }
@@ -162,13 +162,13 @@
     /// Tells every watch of a change: entries for each view. The version that it has.
     pub fn update(&self, changed: &[Vec<Value>]) -> u64 {
         let mut state = self.state.lock().expect("no holder panics");
-        state.lists.change(changed);
+        state.lists.apply(changed);
         let seq = state.lists.seq();
-        let line = |entries: &Vec<Value>| match self.plan.indented {
-            true => format!("{:#}", change(seq, entries)),
-            false => change(seq, entries).to_string(),
+        let line = |entries: &Vec<Value>| match self.config.indented {
+            true => format!("{:#}", change_object(seq, entries)),
+            false => change_object(seq, entries).to_string(),
         };
-        let _ = self.changes.send(Change::Told(Arc::new(changed.iter().map(line).collect())));
+        let _ = self.changes.send(Change::Lines(Arc::new(changed.iter().map(line).collect())));
         seq
     }
 
@@ -180,22 +180,22 @@
     /// Begins to count anew, as one that was restarted: watches end, and this is the list.
     pub fn restart(&self, hosts: Vec<Vec<Value>>) {
         let mut state = self.state.lock().expect("no holder panics");
-        state.lists = Lists::new(hosts, self.plan.retained_changes);
-        let _ = self.changes.send(Change::Broken);
+        state.lists = Lists::new(hosts, self.config.retained_changes);
+        let _ = self.changes.send(Change::CloseWatches);
     }
 
     /// Breaks every watch.
     pub fn break_watches(&self) {
-        let _ = self.changes.send(Change::Broken);
+        let _ = self.changes.send(Change::CloseWatches);
     }
 
     /// Cuts the link to dispatchers of other regions than discovery's, which is the first, or makes it whole.
-    pub fn set_partition(&self, cut: Option<Partition>) {
-        self.link.set(cut);
+    pub fn set_partition(&self, partition: Option<Partition>) {
+        self.link.set(partition);
     }
 
     /// What was counted.
     pub fn metrics(&self) -> &DiscoveryMetrics {
-        &self.tally
+        &self.metrics
     }
 }
--- a/stand-ins/src/discovery/calls.rs
+++ b/stand-ins/src/discovery/calls.rs
@@ -10,87 +10,87 @@
 use tokio::sync::{broadcast, watch};
 
 /// Time between the empty lines of a watch.
-const QUIET: Duration = Duration::from_secs(2);
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between the bytes of an object that never ends.
-const TRICKLE: Duration = Duration::from_millis(500);
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Where discovery stands.
-const REGION: usize = 0;
+const DISCOVERY_REGION: usize = 0;
 
 /// A call's place among the dispatchers and its connection.
-pub(super) struct Caller {
+pub(super) struct Session {
     discovery: Discovery,
-    view: usize,
-    seen: View,
+    view_index: usize,
+    view: View,
     connection: Connection,
 }
 
-impl Caller {
-    pub(super) fn new(discovery: Discovery, dispatcher: usize, connection: Connection) -> Caller {
-        let view = discovery.plan.dispatcher_views[dispatcher];
-        let seen = discovery.plan.views[view];
-        Caller { discovery, view, seen, connection }
+impl Session {
+    pub(super) fn new(discovery: Discovery, dispatcher: usize, connection: Connection) -> Session {
+        let view_index = discovery.config.dispatcher_views[dispatcher];
+        let view = discovery.config.views[view_index];
+        Session { discovery, view_index, view, connection }
     }
 
     /// Serves the connection to its end.
     pub(super) async fn serve(mut self) {
-        let tally = self.discovery.tally.clone();
-        tally.add(self.seen.source, Counter::Accepted, 1);
-        let _open = tally.hold(self.seen.source, Gauge::Connections);
-        if self.cut() == Some(Partition::BothDirections) {
+        let metrics = self.discovery.metrics.clone();
+        metrics.add(self.view.source, Counter::Accepted, 1);
+        let _open = metrics.hold(self.view.source, Gauge::Connections);
+        if self.partition() == Some(Partition::BothDirections) {
             // It never came up, and is reset once it could.
-            self.whole().await;
+            self.wait_restored().await;
             self.connection.reset();
         } else {
-            let _ = self.converse().await;
+            let _ = self.serve_calls().await;
         }
     }
 
-    fn cut(&self) -> Option<Partition> {
-        self.discovery.link.partition(self.seen.region, REGION)
+    fn partition(&self) -> Option<Partition> {
+        self.discovery.link.partition(self.view.region, DISCOVERY_REGION)
     }
 
-    async fn whole(&self) {
-        self.discovery.link.wait_restored(self.seen.region, REGION).await;
+    async fn wait_restored(&self) {
+        self.discovery.link.wait_restored(self.view.region, DISCOVERY_REGION).await;
     }
 
     /// Waits until something can pass; whether the connection still stands then.
-    async fn passes(&mut self) -> bool {
-        if self.cut().is_none() {
+    async fn wait_until_passable(&mut self) -> bool {
+        if self.partition().is_none() {
             return true;
         }
         let link = self.discovery.link.clone();
         tokio::select! {
-            () = link.wait_restored(self.seen.region, REGION) => !self.connection.is_closed(),
+            () = link.wait_restored(self.view.region, DISCOVERY_REGION) => !self.connection.is_closed(),
             () = self.connection.closed() => false,
         }
     }
 
-    async fn converse(&mut self) -> io::Result<()> {
-        let (tally, side) = (self.discovery.tally.clone(), self.seen.source);
+    async fn serve_calls(&mut self) -> io::Result<()> {
+        let (metrics, source) = (self.discovery.metrics.clone(), self.view.source);
         while let Some(request) = self.connection.read().await? {
-            if self.cut() == Some(Partition::BothDirections) && !self.passes().await {
+            if self.partition() == Some(Partition::BothDirections) && !self.wait_until_passable().await {
                 return Ok(());
             }
-            tally.add(side, Counter::BytesIn, request.wire_bytes);
-            let under_way = tally.hold(side, Gauge::Calls);
-            let watches = request.target.contains("stream=1");
-            tally.add(side, if watches { Counter::WatchCalls } else { Counter::ListCalls }, 1);
+            metrics.add(source, Counter::BytesIn, request.wire_bytes);
+            let in_progress = metrics.hold(source, Gauge::Calls);
+            let is_watch = request.target.contains("stream=1");
+            metrics.add(source, if is_watch { Counter::WatchCalls } else { Counter::ListCalls }, 1);
             let mut resumed = self.discovery.resumed.subscribe();
-            let (changes, planned, (first, kind)) = {
+            let (changes, reply, (first_object, counter)) = {
                 let mut state = self.discovery.state.lock().expect("no holder panics");
                 // Together with the list, so that nothing falls between the two and nothing comes twice.
                 let changes = self.discovery.changes.subscribe();
-                let planned = state.plan.pop_front();
-                let since = version(&request.target).filter(|_| watches);
-                let since = since.and_then(|version| state.lists.since(self.view, version));
-                let first = match since {
+                let reply = state.replies.pop_front();
+                let since = requested_version(&request.target).filter(|_| is_watch);
+                let since = since.and_then(|version| state.lists.changes_since(self.view_index, version));
+                let first_object = match since {
                     Some(change) => (change.to_string().into(), Counter::Changes),
-                    None => (state.lists.whole(self.view), Counter::WholeLists),
+                    None => (state.lists.whole_list(self.view_index), Counter::WholeLists),
                 };
-                (changes, planned, first)
+                (changes, reply, first_object)
             };
             self.discovery.request_lines.push(format!("{} {} HTTP/1.1", request.method, request.target));
-            match planned {
+            match reply {
                 Some(PlannedReply::Unavailable) => {
                     self.connection.write("HTTP/1.1 503 Busy", b"").await?;
                     continue;
@@ -105,23 +105,23 @@
                 Some(PlannedReply::DelayedList) => _ = resumed.wait_for(|times| *times >= 2).await,
                 _ => {}
             }
-            if !self.passes().await {
+            if !self.wait_until_passable().await {
                 return Ok(());
             }
-            tally.add(side, kind, 1);
-            if !watches {
-                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", first.len());
-                tally.add(side, Counter::BytesOutLists, head.len() + first.len());
-                self.connection.write_raw(&[head.as_bytes(), first.as_bytes()].concat()).await?;
+            metrics.add(source, counter, 1);
+            if !is_watch {
+                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", first_object.len());
+                metrics.add(source, Counter::BytesOutLists, head.len() + first_object.len());
+                self.connection.write_raw(&[head.as_bytes(), first_object.as_bytes()].concat()).await?;
                 continue;
             }
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            tally.add(side, bytes_of(kind), head.len());
+            metrics.add(source, bytes_counter(counter), head.len());
             self.connection.write_raw(head).await?;
-            self.line(&first, kind).await?;
-            drop(under_way);
-            let _open = tally.hold(side, Gauge::Watches);
-            return self.watch(planned, resumed, changes).await;
+            self.write_line(&first_object, counter).await?;
+            drop(in_progress);
+            let _open = metrics.hold(source, Gauge::Watches);
+            return self.watch(reply, resumed, changes).await;
         }
         Ok(())
     }
@@ -129,56 +129,56 @@
     /// Writes what changes, and empty lines, after the first object.
     async fn watch(
         &mut self,
-        planned: Option<PlannedReply>,
+        reply: Option<PlannedReply>,
         mut resumed: watch::Receiver<usize>,
         mut changes: broadcast::Receiver<Change>,
     ) -> io::Result<()> {
-        match planned {
+        match reply {
             Some(PlannedReply::StalledWatch) => std::future::pending().await,
             Some(PlannedReply::DelayedUpdates) if *resumed.borrow() == 0 => {
                 let _ = resumed.wait_for(|times| *times >= 1).await;
-                self.line("", Counter::EmptyLines).await?;
+                self.write_line("", Counter::EmptyLines).await?;
             }
             Some(PlannedReply::Trickle) => {
                 self.connection.write_raw(b"1\r\n{\r\n").await?;
                 loop {
-                    tokio::time::sleep(TRICKLE).await;
+                    tokio::time::sleep(TRICKLE_INTERVAL).await;
                     self.connection.write_raw(b"1\r\n \r\n").await?;
                 }
             }
             _ => {}
         }
         loop {
-            let told = tokio::time::timeout(QUIET, changes.recv()).await;
-            if !self.passes().await {
+            let change = tokio::time::timeout(EMPTY_LINE_INTERVAL, changes.recv()).await;
+            if !self.wait_until_passable().await {
                 return Ok(());
             }
-            let (line, kind) = match &told {
+            let (line, counter) = match &change {
                 Err(_) => ("", Counter::EmptyLines),
-                Ok(Ok(Change::Told(lines))) => (lines[self.view].as_str(), Counter::Changes),
-                Ok(Ok(Change::Broken) | Err(_)) => return Ok(()),
+                Ok(Ok(Change::Lines(lines))) => (lines[self.view_index].as_str(), Counter::Changes),
+                Ok(Ok(Change::CloseWatches) | Err(_)) => return Ok(()),
             };
-            self.discovery.tally.add(self.seen.source, kind, 1);
-            self.line(line, kind).await?;
+            self.discovery.metrics.add(self.view.source, counter, 1);
+            self.write_line(line, counter).await?;
         }
     }
 
     /// Writes a line of the watch, in chunks where the plan says so.
-    async fn line(&mut self, text: &str, kind: Counter) -> io::Result<()> {
-        let (tally, side) = (self.discovery.tally.clone(), self.seen.source);
+    async fn write_line(&mut self, text: &str, counter: Counter) -> io::Result<()> {
+        let (metrics, source) = (self.discovery.metrics.clone(), self.view.source);
         let line = [text.as_bytes(), b"\n"].concat();
-        for part in line.chunks(self.discovery.plan.chunk_bytes.unwrap_or(line.len())) {
+        for part in line.chunks(self.discovery.config.chunk_bytes.unwrap_or(line.len())) {
             let head = format!("{:x}\r\n", part.len());
             let bytes = [head.as_bytes(), part, b"\r\n"].concat();
-            tally.add(side, bytes_of(kind), bytes.len());
+            metrics.add(source, bytes_counter(counter), bytes.len());
             self.connection.write_raw(&bytes).await?;
         }
         Ok(())
     }
 }
 
-fn bytes_of(kind: Counter) -> Counter {
-    match kind {
+fn bytes_counter(counter: Counter) -> Counter {
+    match counter {
         Counter::WholeLists => Counter::BytesOutLists,
         Counter::EmptyLines => Counter::BytesOutEmptyLines,
         _ => Counter::BytesOutChanges,
@@ -186,6 +186,6 @@
 }
 
 /// The version that a call asks from.
-fn version(target: &str) -> Option<u64> {
+fn requested_version(target: &str) -> Option<u64> {
     target.split(['?', '&']).find_map(|part| part.strip_prefix("index="))?.parse().ok()
 }
--- a/stand-ins/src/discovery/lists.rs
+++ b/stand-ins/src/discovery/lists.rs
@@ -13,17 +13,17 @@
     seq: u64,
     hosts: Entries,
     /// The latest changes with their versions, no more than `most`.
-    held: VecDeque<(u64, Entries)>,
-    most: usize,
+    retained: VecDeque<(u64, Entries)>,
+    max_retained: usize,
     /// Written out, by view, until the next change.
-    whole: Vec<Option<Arc<str>>>,
+    whole_json: Vec<Option<Arc<str>>>,
 }
 
 impl Lists {
     /// The first version. So many changes are held, for those who ask what has come since.
-    pub fn new(hosts: Entries, most: usize) -> Lists {
-        let whole = vec![None; hosts.len()];
-        Lists { seq: 1, hosts, held: VecDeque::new(), most, whole }
+    pub fn new(hosts: Entries, max_retained: usize) -> Lists {
+        let whole_json = vec![None; hosts.len()];
+        Lists { seq: 1, hosts, retained: VecDeque::new(), max_retained, whole_json }
     }
 
     /// The version.
@@ -32,51 +32,51 @@
     }
 
     /// Takes a change.
-    pub fn change(&mut self, changed: &[Vec<Value>]) {
+    pub fn apply(&mut self, changed: &[Vec<Value>]) {
         self.seq += 1;
-        for (held, changed) in self.hosts.iter_mut().zip(changed) {
-            merge(held, changed, |entry| entry["health"] != "left");
+        for (hosts, changed) in self.hosts.iter_mut().zip(changed) {
+            merge(hosts, changed, |entry| entry["health"] != "left");
         }
-        self.whole.fill(None);
-        self.held.push_back((self.seq, changed.to_vec()));
-        while self.held.len() > self.most {
-            self.held.pop_front();
+        self.whole_json.fill(None);
+        self.retained.push_back((self.seq, changed.to_vec()));
+        while self.retained.len() > self.max_retained {
+            self.retained.pop_front();
         }
     }
 
     /// The whole list from a view.
-    pub fn whole(&mut self, view: usize) -> Arc<str> {
+    pub fn whole_list(&mut self, view: usize) -> Arc<str> {
         let (seq, hosts) = (self.seq, &self.hosts[view]);
         let write = || json!({"seq": seq, "whole": true, "hosts": hosts}).to_string().into();
-        self.whole[view].get_or_insert_with(write).clone()
+        self.whole_json[view].get_or_insert_with(write).clone()
     }
 
     /// What has changed since a version, each runner as it is now; none if that is not known any more.
-    pub fn since(&self, view: usize, version: u64) -> Option<Value> {
-        let held = self.held.front().map(|(first, _)| *first <= version.saturating_add(1));
-        let known = held.unwrap_or(version == self.seq && self.most > 0);
+    pub fn changes_since(&self, view: usize, version: u64) -> Option<Value> {
+        let reaches_back = self.retained.front().map(|(first, _)| *first <= version.saturating_add(1));
+        let known = reaches_back.unwrap_or(version == self.seq && self.max_retained > 0);
         if !known || version > self.seq {
             return None;
         }
         let mut changed = Vec::new();
-        for (_, entries) in self.held.iter().filter(|(seq, _)| *seq > version) {
+        for (_, entries) in self.retained.iter().filter(|(seq, _)| *seq > version) {
             merge(&mut changed, &entries[view], |_| true);
         }
-        Some(change(self.seq, &changed))
+        Some(change_object(self.seq, &changed))
     }
 }
 
 /// Later entries in place of earlier ones of the same runner, those that are to be kept.
-fn merge(held: &mut Vec<Value>, changed: &[Value], keep: impl Fn(&Value) -> bool) {
+fn merge(entries: &mut Vec<Value>, changed: &[Value], keep: impl Fn(&Value) -> bool) {
     for entry in changed {
-        held.retain(|old| old["host"] != entry["host"]);
+        entries.retain(|old| old["host"] != entry["host"]);
         if keep(entry) {
-            held.push(entry.clone());
+            entries.push(entry.clone());
         }
     }
 }
 
 /// A change as it is told.
-pub fn change(seq: u64, entries: &[Value]) -> Value {
+pub fn change_object(seq: u64, entries: &[Value]) -> Value {
     json!({"seq": seq, "whole": false, "hosts": entries})
 }
--- a/stand-ins/src/hall.rs
+++ b/stand-ins/src/hall.rs
@@ -3,14 +3,14 @@
 //! often, and where. A node does what the platform's pages say of one, and knows nothing of dispatchers
 //! beyond the address that its calls go to.
 
+mod dedup;
 mod job;
-mod memory;
 mod node;
 
-pub use memory::Key;
+pub use dedup::Key;
 
 use crate::installation::{Class, Faults, Hall};
-use memory::Memory;
+use dedup::RepeatFilter;
 use node::Node;
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 /// What truly happened.
 #[derive(Default)]
 pub struct GroundTruth {
-    effects: Mutex<HashMap<Key, Vec<String>>>,
+    executions: Mutex<HashMap<Key, Vec<String>>>,
     /// Attempts taken.
     pub attempts: AtomicUsize,
     /// Repeats that a hall's memory dropped.
@@ -35,18 +35,18 @@
 impl GroundTruth {
     /// Keys that had their effect more than once.
     pub fn duplicated_keys(&self) -> usize {
-        self.effects.lock().expect("no holder panics").values().filter(|halls| halls.len() > 1).count()
+        self.executions.lock().expect("no holder panics").values().filter(|halls| halls.len() > 1).count()
     }
 
     /// The same, where the effects were in different halls.
     pub fn keys_duplicated_across_halls(&self) -> usize {
         let across = |halls: &&Vec<String>| halls.iter().any(|hall| *hall != halls[0]);
-        self.effects.lock().expect("no holder panics").values().filter(across).count()
+        self.executions.lock().expect("no holder panics").values().filter(across).count()
     }
 
     /// Keys that had their effect.
     pub fn executed_keys(&self) -> usize {
-        self.effects.lock().expect("no holder panics").len()
+        self.executions.lock().expect("no holder panics").len()
     }
 }
 
@@ -72,27 +72,27 @@
         dispatchers: &[SocketAddr],
     ) -> std::io::Result<Halls> {
         let ground_truth = Arc::new(GroundTruth::default());
-        let of_all = Arc::new(Memory::default());
+        let installation_filter = Arc::new(RepeatFilter::default());
         let mut hosts = vec![Vec::new(); dispatchers.len()];
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         for hall in halls {
-            let of_hall = Arc::new(Memory::default());
+            let hall_filter = Arc::new(RepeatFilter::default());
             for number in 0..hall.nodes {
                 let node = Arc::new(Node {
                     name: format!("{}-{number}", hall.name),
                     hall: hall.name.clone(),
                     speed: hall.speed,
                     slots: hall.slots,
-                    free: Semaphore::new(hall.slots),
+                    free_slots: Semaphore::new(hall.slots),
                     classes: classes.iter().map(|class| (class.name.clone(), class.clone())).collect(),
                     faults: faults.clone(),
-                    random: Mutex::new(random.fork()),
-                    of_hall: of_hall.clone(),
-                    of_all: of_all.clone(),
-                    truth: ground_truth.clone(),
+                    rng: Mutex::new(rng.fork()),
+                    hall_filter: hall_filter.clone(),
+                    installation_filter: installation_filter.clone(),
+                    ground_truth: ground_truth.clone(),
                     jobs: Mutex::default(),
                     dispatchers: dispatchers.to_vec(),
-                    idle: Mutex::default(),
+                    idle_connections: Mutex::default(),
                 });
                 for (dispatcher, hosts) in hosts.iter_mut().enumerate() {
                     let listener = TcpListener::bind("127.0.0.1:0").await?;
--- a/stand-ins/src/hall/memory.rs
+++ b/stand-ins/src/hall/dedup.rs
@@ -11,34 +11,34 @@
 
 /// What became of a key in the memory of a hall.
 #[derive(Clone, Debug)]
-pub(super) enum Fate {
+pub(super) enum JobState {
     Running,
     Done(String),
     /// Its job was withdrawn unstarted: it never ran.
-    Withdrawn,
+    Cancelled,
 }
 
 /// The memory that nodes share: those of a hall, or all of them.
 #[derive(Default)]
-pub(super) struct Memory(Mutex<HashMap<Key, (Instant, watch::Receiver<Fate>)>>);
+pub(super) struct RepeatFilter(Mutex<HashMap<Key, (Instant, watch::Receiver<JobState>)>>);
 
 pub(super) enum Claim {
-    Mine(watch::Sender<Fate>),
-    Repeat(watch::Receiver<Fate>),
+    First(watch::Sender<JobState>),
+    Repeat(watch::Receiver<JobState>),
 }
 
-impl Memory {
+impl RepeatFilter {
     /// The first within the window has the key; the rest are repeats, which are dropped.
     pub(super) fn claim(&self, key: &Key, window: Duration) -> Claim {
-        let mut held = self.0.lock().expect("no holder panics");
-        if let Some((at, fate)) = held.get(key)
-            && at.elapsed() < window
-            && !matches!(*fate.borrow(), Fate::Withdrawn)
+        let mut claims = self.0.lock().expect("no holder panics");
+        if let Some((claimed_at, state)) = claims.get(key)
+            && claimed_at.elapsed() < window
+            && !matches!(*state.borrow(), JobState::Cancelled)
         {
-            return Claim::Repeat(fate.clone());
+            return Claim::Repeat(state.clone());
         }
-        let (send, receive) = watch::channel(Fate::Running);
-        held.insert(key.clone(), (Instant::now(), receive));
-        Claim::Mine(send)
+        let (send, receive) = watch::channel(JobState::Running);
+        claims.insert(key.clone(), (Instant::now(), receive));
+        Claim::First(send)
     }
 }
--- a/stand-ins/src/hall/node.rs
+++ b/stand-ins/src/hall/node.rs
@@ -2,7 +2,7 @@
 //! drawn for it. It owns those answers; it must never run a job itself.
 
 use super::GroundTruth;
-use super::memory::Memory;
+use super::dedup::RepeatFilter;
 use crate::http::Connection;
 use crate::installation::{Class, Faults};
 use serde_json::json;
@@ -18,17 +18,17 @@
     pub(super) hall: String,
     pub(super) speed: f64,
     pub(super) slots: usize,
-    pub(super) free: Semaphore,
+    pub(super) free_slots: Semaphore,
     pub(super) classes: HashMap<String, Class>,
     pub(super) faults: Faults,
-    pub(super) random: Mutex<fastrand::Rng>,
-    pub(super) of_hall: Arc<Memory>,
-    pub(super) of_all: Arc<Memory>,
-    pub(super) truth: Arc<GroundTruth>,
+    pub(super) rng: Mutex<fastrand::Rng>,
+    pub(super) hall_filter: Arc<RepeatFilter>,
+    pub(super) installation_filter: Arc<RepeatFilter>,
+    pub(super) ground_truth: Arc<GroundTruth>,
     pub(super) jobs: Mutex<HashMap<String, Arc<Notify>>>,
     /// Where call-backs go, and connections to there.
     pub(super) dispatchers: Vec<SocketAddr>,
-    pub(super) idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
+    pub(super) idle_connections: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 /// What is done to an attempt.
@@ -42,7 +42,7 @@
     /// The job runs and fails.
     Error,
     /// Turned away unseen.
-    Away,
+    NotProcessed,
     /// The job takes longer.
     Slow,
 }
@@ -71,9 +71,10 @@
                     connection.write("HTTP/1.1 404 Not Found", b"").await?;
                 }
                 "POST" => {
-                    self.truth.attempts.fetch_add(1, Relaxed);
-                    let fault = self.fault();
-                    if fault == Fault::Away || !self.classes.contains_key(request.header("x-priority-class"))
+                    self.ground_truth.attempts.fetch_add(1, Relaxed);
+                    let fault = self.draw_fault();
+                    if fault == Fault::NotProcessed
+                        || !self.classes.contains_key(request.header("x-priority-class"))
                     {
                         let head = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1";
                         connection.write(head, b"").await?;
@@ -87,7 +88,8 @@
                     connection.write("HTTP/1.1 202 Accepted", b"").await?;
                 }
                 _ => {
-                    let load = json!({"outstanding": self.inflight(), "x0": self.free.available_permits()});
+                    let load =
+                        json!({"outstanding": self.inflight(), "x0": self.free_slots.available_permits()});
                     connection.write("HTTP/1.1 200 OK", load.to_string().as_bytes()).await?;
                 }
             }
@@ -99,21 +101,21 @@
         self.jobs.lock().expect("no holder panics").len()
     }
 
-    fn fault(&self) -> Fault {
-        let f = &self.faults;
-        let mut point = self.random.lock().expect("no holder panics").f64();
+    fn draw_fault(&self) -> Fault {
+        let faults = &self.faults;
+        let mut draw = self.rng.lock().expect("no holder panics").f64();
         for (share, fault) in [
-            (f.reset, Fault::Reset),
-            (f.silent, Fault::Silent),
-            (f.error, Fault::Error),
-            (f.away, Fault::Away),
-            (f.slow, Fault::Slow),
+            (faults.reset, Fault::Reset),
+            (faults.silent, Fault::Silent),
+            (faults.error, Fault::Error),
+            (faults.away, Fault::NotProcessed),
+            (faults.slow, Fault::Slow),
         ] {
-            if point < share {
-                self.truth.faults.fetch_add(1, Relaxed);
+            if draw < share {
+                self.ground_truth.faults.fetch_add(1, Relaxed);
                 return fault;
             }
-            point -= share;
+            draw -= share;
         }
         Fault::None
     }
--- a/stand-ins/src/hollow.rs
+++ b/stand-ins/src/hollow.rs
@@ -6,13 +6,13 @@
 //! What a real runner does and these don't: results hold nothing, nothing fails, repeats of a key are not dropped,
 //! a cold one that is flooded stays up, and while a link is cut no try of a call-back is used up.
 
+mod callbacks;
 mod connections;
 pub mod metrics;
 pub mod profile;
 mod runner;
 mod shared;
 pub mod slots;
-mod telling;
 
 pub use crate::region_link::{Partition, View};
 
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 /// Time between looks at connections that rest.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A dispatcher, whose number is the first four hexadecimal digits of its requests' ids.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
 
 /// All runners.
 pub struct Runners {
-    all: Vec<Arc<Runner>>,
+    runners: Vec<Arc<Runner>>,
     shared: Arc<Shared>,
 }
 
@@ -65,38 +65,38 @@
     ///
     /// If an address can't be had.
     pub async fn start(
-        planned: &[RunnerSpec],
+        specs: &[RunnerSpec],
         views: &[View],
         dispatchers: &[Dispatcher],
-        manner: Profile,
-        began: OnStart,
+        profile: Profile,
+        on_start: OnStart,
     ) -> io::Result<Runners> {
         let shared = Arc::new(Shared {
-            manner,
+            profile,
             views: views.to_vec(),
             dispatchers: dispatchers.to_vec(),
             link: RegionLink::default(),
-            tally: RunnerMetrics::default(),
-            began,
+            metrics: RunnerMetrics::default(),
+            on_start,
             epoch: tokio::time::Instant::now(),
         });
-        let mut all = Vec::with_capacity(planned.len());
-        for (number, planned) in planned.iter().enumerate() {
-            all.push(Runner::start(number, planned, shared.clone()).await?);
+        let mut runners = Vec::with_capacity(specs.len());
+        for (number, spec) in specs.iter().enumerate() {
+            runners.push(Runner::start(number, spec, shared.clone()).await?);
         }
-        let (swept, rest) = (all.clone(), shared.clone());
+        let (swept, common) = (runners.clone(), shared.clone());
         tokio::spawn(async move {
             loop {
-                tokio::time::sleep(SWEEP).await;
-                swept.iter().for_each(|runner| runner.sweep(rest.manner.callback_idle_timeout));
+                tokio::time::sleep(SWEEP_INTERVAL).await;
+                swept.iter().for_each(|runner| runner.close_idle(common.profile.callback_idle_timeout));
             }
         });
-        Ok(Runners { all, shared })
+        Ok(Runners { runners, shared })
     }
 
     /// Where they listen, by runner and view.
     pub fn addresses(&self) -> Vec<Vec<SocketAddr>> {
-        self.all.iter().map(|runner| runner.dial().to_vec()).collect()
+        self.runners.iter().map(|runner| runner.addresses().to_vec()).collect()
     }
 
     /// Their machines vanish: connections are reset, new ones refused, work is lost.
@@ -105,8 +105,8 @@
     ///
     /// If there is no such runner, or if its address was lost to another process.
     pub async fn crash(&self, runners: &[usize]) -> io::Result<()> {
-        for runner in self.chosen(runners)? {
-            runner.down().await?;
+        for runner in self.select(runners)? {
+            runner.crash().await?;
         }
         Ok(())
     }
@@ -117,22 +117,22 @@
     ///
     /// If there is no such runner, or if it can't listen.
     pub fn restart(&self, runners: &[usize]) -> io::Result<()> {
-        self.chosen(runners)?.into_iter().try_for_each(|runner| runner.up())
+        self.select(runners)?.into_iter().try_for_each(|runner| runner.restart())
     }
 
     /// Cuts the link between regions, or makes it whole.
-    pub fn set_partition(&self, cut: Option<Partition>) {
-        self.shared.link.set(cut);
+    pub fn set_partition(&self, partition: Option<Partition>) {
+        self.shared.link.set(partition);
     }
 
     /// What was counted.
     pub fn metrics(&self) -> &RunnerMetrics {
-        &self.shared.tally
+        &self.shared.metrics
     }
 
-    fn chosen(&self, runners: &[usize]) -> io::Result<Vec<&Arc<Runner>>> {
+    fn select(&self, runners: &[usize]) -> io::Result<Vec<&Arc<Runner>>> {
         let one = |&number: &usize| {
-            self.all.get(number).ok_or_else(|| io::Error::other(format!("there is no runner {number}")))
+            self.runners.get(number).ok_or_else(|| io::Error::other(format!("there is no runner {number}")))
         };
         runners.iter().map(one).collect()
     }
--- a/stand-ins/src/hollow/connections.rs
+++ b/stand-ins/src/hollow/connections.rs
@@ -2,7 +2,7 @@
 //! owns the reading and the answers, and the silence of a cut link; it must never decide when a request runs.
 
 use super::metrics::{Counter, Gauge};
-use super::runner::{Life, Runner};
+use super::runner::{Lifetime, Runner};
 use crate::http::{Connection, Message};
 use crate::region_link::Partition;
 use serde::Deserialize;
@@ -12,83 +12,83 @@
 
 /// What a request's body says.
 #[derive(Deserialize)]
-struct Work {
+struct RequestBody {
     work_us: u64,
 }
 
 /// An answer to be.
-struct Answer {
+struct Response {
     bytes: Vec<u8>,
     /// What its bytes count as.
-    kind: Counter,
+    counter: Counter,
     /// The request that it takes, by its number here: it is given up if the connection ends before.
     job: Option<u64>,
 }
 
-impl Answer {
-    fn new(kind: Counter, status: &str, body: &str) -> Answer {
+impl Response {
+    fn new(counter: Counter, status: &str, body: &str) -> Response {
         let bytes = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        Answer { bytes: bytes.into_bytes(), kind, job: None }
+        Response { bytes: bytes.into_bytes(), counter, job: None }
     }
 }
 
 /// Serves a connection to its end or the runner's.
-pub async fn serve(runner: Arc<Runner>, view: usize, stream: TcpStream, mut life: Life) {
-    let side = runner.shared.views[view].source;
-    let tally = &runner.shared.tally;
-    tally.add(side, Counter::Accepted, 1);
-    tally.increment(side, Gauge::Connections);
+pub async fn serve(runner: Arc<Runner>, view: usize, stream: TcpStream, mut lifetime: Lifetime) {
+    let source = runner.shared.views[view].source;
+    let metrics = &runner.shared.metrics;
+    metrics.add(source, Counter::Accepted, 1);
+    metrics.increment(source, Gauge::Connections);
     let mut connection = Connection::new(stream);
     let reset = tokio::select! {
         biased;
-        _ = life.changed() => true,
-        reset = converse(&runner, view, &mut connection) => matches!(reset, Ok(true)),
+        _ = lifetime.changed() => true,
+        reset = serve_requests(&runner, view, &mut connection) => matches!(reset, Ok(true)),
     };
-    tally.decrement(side, Gauge::Connections);
+    metrics.decrement(source, Gauge::Connections);
     if reset {
         connection.reset();
     }
 }
 
 /// Whether it is to end by a reset.
-async fn converse(runner: &Arc<Runner>, view: usize, connection: &mut Connection) -> io::Result<bool> {
+async fn serve_requests(runner: &Arc<Runner>, view: usize, connection: &mut Connection) -> io::Result<bool> {
     let shared = &runner.shared;
-    let (region, side) = (shared.views[view].region, shared.views[view].source);
-    let (link, tally) = (&shared.link, &shared.tally);
-    let cut = || link.partition(region, runner.region);
-    let whole = || link.wait_restored(region, runner.region);
-    if cut() == Some(Partition::BothDirections) {
+    let (region, source) = (shared.views[view].region, shared.views[view].source);
+    let (link, metrics) = (&shared.link, &shared.metrics);
+    let partition = || link.partition(region, runner.region);
+    let wait_restored = || link.wait_restored(region, runner.region);
+    if partition() == Some(Partition::BothDirections) {
         // It never came up; once the machine is back it is reset.
-        whole().await;
+        wait_restored().await;
         return Ok(true);
     }
     loop {
-        let Ok(read) = tokio::time::timeout(shared.manner.idle_timeout, connection.read()).await else {
-            whole().await;
-            tally.add(side, Counter::IdleClosed, 1);
+        let Ok(read) = tokio::time::timeout(shared.profile.idle_timeout, connection.read()).await else {
+            wait_restored().await;
+            metrics.add(source, Counter::IdleClosed, 1);
             return Ok(false);
         };
         let Some(message) = read? else { return Ok(false) };
-        if cut() == Some(Partition::BothDirections) {
-            whole().await;
+        if partition() == Some(Partition::BothDirections) {
+            wait_restored().await;
             // What was given up meanwhile has not begun.
             if connection.is_closed() {
                 return Ok(false);
             }
         }
         let answer = answer(runner, view, &message);
-        if cut().is_some() {
+        if partition().is_some() {
             tokio::select! {
-                () = whole() => {}
+                () = wait_restored() => {}
                 () = connection.closed() => {
                     if let Some(job) = answer.job {
-                        runner.give_up(side, message.header("x-request-id"), Some(job));
+                        runner.cancel(source, message.header("x-request-id"), Some(job));
                     }
                     return Ok(false);
                 }
             }
         }
-        tally.add(side, answer.kind, answer.bytes.len());
+        metrics.add(source, answer.counter, answer.bytes.len());
         connection.write_raw(&answer.bytes).await?;
         if message.header("connection").eq_ignore_ascii_case("close") {
             return Ok(false);
@@ -96,62 +96,63 @@
     }
 }
 
-fn answer(runner: &Arc<Runner>, view: usize, message: &Message) -> Answer {
-    let (shared, side) = (&runner.shared, runner.shared.views[view].source);
-    let tally = &shared.tally;
+fn answer(runner: &Arc<Runner>, view: usize, message: &Message) -> Response {
+    let (shared, source) = (&runner.shared, runner.shared.views[view].source);
+    let metrics = &shared.metrics;
     let path = message.target.split('?').next().unwrap_or("");
-    let (manner, probing) = (&shared.manner, shared.manner.answers_probes);
+    let (profile, probing) = (&shared.profile, shared.profile.answers_probes);
     let probe = |body: &str| {
-        tally.add(side, Counter::Probes, 1);
-        tally.add(side, Counter::BytesInProbes, message.wire_bytes);
-        Answer::new(Counter::BytesOutProbes, if probing { "200 OK" } else { "404 Not Found" }, body)
+        metrics.add(source, Counter::Probes, 1);
+        metrics.add(source, Counter::BytesInProbes, message.wire_bytes);
+        Response::new(Counter::BytesOutProbes, if probing { "200 OK" } else { "404 Not Found" }, body)
     };
     match (message.method.as_str(), path) {
         ("DELETE", path) if path.starts_with("/jobs/") => {
-            tally.add(side, Counter::GiveUps, 1);
-            tally.add(side, Counter::BytesInGiveUps, message.wire_bytes);
-            runner.give_up(side, &path["/jobs/".len()..], None);
-            Answer::new(Counter::BytesOutGiveUps, "200 OK", "")
+            metrics.add(source, Counter::GiveUps, 1);
+            metrics.add(source, Counter::BytesInGiveUps, message.wire_bytes);
+            runner.cancel(source, &path["/jobs/".len()..], None);
+            Response::new(Counter::BytesOutGiveUps, "200 OK", "")
         }
         ("GET", "/alive") => probe(""),
-        ("GET", "/metrics/load") => match probing && manner.reports.1 {
+        ("GET", "/metrics/load") => match probing && profile.reports.1 {
             true => {
-                let report = manner.report(&runner.load()).to_string();
-                tally.add(side, Counter::BytesOutReports, report.len());
+                let report = profile.report(&runner.load()).to_string();
+                metrics.add(source, Counter::BytesOutReports, report.len());
                 probe(&report)
             }
             false => probe(""),
         },
-        ("POST", _) => request(runner, view, message),
+        ("POST", _) => accept_request(runner, view, message),
         _ => {
-            tally.add(side, Counter::Answers404, 1);
-            Answer::new(Counter::BytesOutRequests, "404 Not Found", "")
+            metrics.add(source, Counter::Answers404, 1);
+            Response::new(Counter::BytesOutRequests, "404 Not Found", "")
         }
     }
 }
 
 /// Takes a request, if it is one: of a form that a client has sent, and from the dispatcher that its id names.
-fn request(runner: &Arc<Runner>, view: usize, message: &Message) -> Answer {
-    let (shared, side) = (&runner.shared, runner.shared.views[view].source);
-    let tally = &shared.tally;
-    tally.add(side, Counter::Requests, 1);
-    tally.add(side, Counter::BytesInRequests, message.wire_bytes);
+fn accept_request(runner: &Arc<Runner>, view: usize, message: &Message) -> Response {
+    let (shared, source) = (&runner.shared, runner.shared.views[view].source);
+    let metrics = &shared.metrics;
+    metrics.add(source, Counter::Requests, 1);
+    metrics.add(source, Counter::BytesInRequests, message.wire_bytes);
     let id = message.header("x-request-id");
     if id.is_empty() || !message.target.starts_with("/api") {
-        tally.add(side, Counter::Answers404, 1);
-        return Answer::new(Counter::BytesOutRequests, "404 Not Found", "");
+        metrics.add(source, Counter::Answers404, 1);
+        return Response::new(Counter::BytesOutRequests, "404 Not Found", "");
     }
-    let own = shared.dispatcher(id).is_some_and(|number| shared.dispatchers[number].view == view);
-    let work = serde_json::from_str::<Work>(&message.body);
-    let Some(work) = work.ok().filter(|_| own) else {
-        tally.add(side, Counter::Answers400, 1);
-        return Answer::new(Counter::BytesOutRequests, "400 Bad Request", "");
+    let from_own_dispatcher =
+        shared.dispatcher(id).is_some_and(|number| shared.dispatchers[number].view == view);
+    let work = serde_json::from_str::<RequestBody>(&message.body);
+    let Some(work) = work.ok().filter(|_| from_own_dispatcher) else {
+        metrics.add(source, Counter::Answers400, 1);
+        return Response::new(Counter::BytesOutRequests, "400 Bad Request", "");
     };
-    if runner.holds(id) {
+    if runner.has_wanted(id) {
         // Perhaps sent again by a library: it runs, as on the platform, and is seen.
-        tally.add(side, Counter::Copies, 1);
+        metrics.add(source, Counter::Copies, 1);
     }
-    let job = runner.take(side, id, work.work_us);
-    tally.add(side, Counter::Answers202, 1);
-    Answer { job: Some(job), ..Answer::new(Counter::BytesOutRequests, "202 Accepted", "") }
+    let job = runner.accept_request(source, id, work.work_us);
+    metrics.add(source, Counter::Answers202, 1);
+    Response { job: Some(job), ..Response::new(Counter::BytesOutRequests, "202 Accepted", "") }
 }
--- a/stand-ins/src/hollow/profile.rs
+++ b/stand-ins/src/hollow/profile.rs
@@ -34,16 +34,16 @@
     /// What the settings of a dispatcher say of runners; what they don't say is the usual.
     pub fn from_settings(settings: &Value) -> Profile {
         let (limits, rules, reporting) = (&settings["limits"], &settings["rules"], &settings["reporting"]);
-        let time = |value: &Value, usual: u64| Duration::from_nanos(value.as_u64().unwrap_or(usual));
+        let duration = |value: &Value, default: u64| Duration::from_nanos(value.as_u64().unwrap_or(default));
         let how = reporting["how"].as_str().unwrap_or("silent");
         let fields = reporting["fields"].as_array().into_iter().flatten();
         Profile {
             slow_start: SlowStart {
                 initial_speed: rules["coldFrom"].as_f64().unwrap_or(0.5),
-                duration_us: time(&rules["warmAfter"], 8_000_000_000).as_micros() as u64,
+                duration_us: duration(&rules["warmAfter"], 8_000_000_000).as_micros() as u64,
             },
-            idle_timeout: time(&limits["connIdle"], 10_000_000_000),
-            connect_timeout: time(&limits["connectTimeout"], 250_000_000),
+            idle_timeout: duration(&limits["connIdle"], 10_000_000_000),
+            connect_timeout: duration(&limits["connectTimeout"], 250_000_000),
             callback_timeout: Duration::from_secs(1),
             callback_retry_pause: Duration::from_millis(50),
             callback_idle_timeout: Duration::from_secs(4),
--- a/stand-ins/src/hollow/runner.rs
+++ b/stand-ins/src/hollow/runner.rs
@@ -2,10 +2,10 @@
 //! the timers of what runs and the order in which a machine vanishes; it must never decide what runs when, nor
 //! read or write a connection.
 
+use super::callbacks::IdleConnection;
 use super::metrics::{Counter, Gauge};
 use super::shared::Shared;
 use super::slots::{CancelOutcome, Load, Slots, StartedJob};
-use super::telling::Resting;
 use super::{RunnerSpec, connections};
 use crate::metrics::TrafficSource;
 use std::io;
@@ -22,11 +22,11 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What everything that a runner does until it is lost holds: it sees the end, and the end waits for it.
-pub type Life = watch::Receiver<()>;
+pub type Lifetime = watch::Receiver<()>;
 
-enum Standing {
+enum State {
     Up {
-        life: watch::Sender<()>,
+        lifetime: watch::Sender<()>,
         accepting: Vec<JoinHandle<()>>,
     },
     /// Its addresses, held by sockets that don't listen.
@@ -40,17 +40,17 @@
     pub region: usize,
     pub shared: Arc<Shared>,
     /// Connections for call-backs that rest.
-    pub resting: Mutex<Vec<Resting>>,
-    dial: Vec<SocketAddr>,
+    pub idle_connections: Mutex<Vec<IdleConnection>>,
+    addresses: Vec<SocketAddr>,
     slots: Mutex<Slots>,
-    standing: Mutex<Standing>,
+    state: Mutex<State>,
 }
 
-fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder panics")
 }
 
-fn socket(at: SocketAddr) -> io::Result<TcpSocket> {
+fn bind_socket(at: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
@@ -59,47 +59,47 @@
 
 impl Runner {
     /// Starts one, warm.
-    pub async fn start(number: usize, planned: &RunnerSpec, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
+    pub async fn start(number: usize, spec: &RunnerSpec, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let sockets = shared.views.iter().map(|_| socket(any)).collect::<io::Result<Vec<_>>>()?;
-        let dial = sockets.iter().map(TcpSocket::local_addr).collect::<io::Result<_>>()?;
+        let sockets = shared.views.iter().map(|_| bind_socket(any)).collect::<io::Result<Vec<_>>>()?;
+        let addresses = sockets.iter().map(TcpSocket::local_addr).collect::<io::Result<_>>()?;
         let runner = Arc::new(Runner {
             number,
-            name: planned.name.clone(),
-            region: planned.region,
-            resting: Mutex::default(),
-            dial,
-            slots: Mutex::new(Slots::new(planned.slots, shared.manner.slow_start)),
-            standing: Mutex::new(Standing::Down(sockets)),
+            name: spec.name.clone(),
+            region: spec.region,
+            idle_connections: Mutex::default(),
+            addresses,
+            slots: Mutex::new(Slots::new(spec.slots, shared.profile.slow_start)),
+            state: Mutex::new(State::Down(sockets)),
             shared,
         });
         runner.listen()?;
         Ok(runner)
     }
 
-    pub fn dial(&self) -> &[SocketAddr] {
-        &self.dial
+    pub fn addresses(&self) -> &[SocketAddr] {
+        &self.addresses
     }
 
     /// Listens at its addresses; changes nothing if it does so already.
     fn listen(self: &Arc<Self>) -> io::Result<()> {
-        let mut standing = held(&self.standing);
-        let Standing::Down(sockets) = &mut *standing else { return Ok(()) };
+        let mut state = lock(&self.state);
+        let State::Down(sockets) = &mut *state else { return Ok(()) };
         let listeners = sockets.drain(..).map(|socket| socket.listen(BACKLOG));
         let listeners = listeners.collect::<io::Result<Vec<_>>>()?;
-        let life = watch::channel(()).0;
+        let lifetime = watch::channel(()).0;
         let accepting = listeners.into_iter().enumerate();
-        let accepting =
-            accepting.map(|(view, at)| tokio::spawn(self.clone().accept(view, at, life.subscribe())));
-        *standing = Standing::Up { accepting: accepting.collect(), life };
+        let accepting = accepting
+            .map(|(view, at)| tokio::spawn(self.clone().accept_connections(view, at, lifetime.subscribe())));
+        *state = State::Up { accepting: accepting.collect(), lifetime };
         Ok(())
     }
 
-    async fn accept(self: Arc<Self>, view: usize, listener: TcpListener, life: Life) {
+    async fn accept_connections(self: Arc<Self>, view: usize, listener: TcpListener, lifetime: Lifetime) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(connections::serve(self.clone(), view, stream, life.clone()));
+                    tokio::spawn(connections::serve(self.clone(), view, stream, lifetime.clone()));
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
@@ -107,122 +107,122 @@
     }
 
     /// It starts again, cold and empty.
-    pub fn up(self: &Arc<Self>) -> io::Result<()> {
-        if matches!(*held(&self.standing), Standing::Down(_)) {
-            held(&self.slots).start_cold(self.shared.now_us());
+    pub fn restart(self: &Arc<Self>) -> io::Result<()> {
+        if matches!(*lock(&self.state), State::Down(_)) {
+            lock(&self.slots).start_cold(self.shared.now_us());
         }
         self.listen()
     }
 
     /// Its machine vanishes. Returns once nothing of it is left.
-    pub async fn down(&self) -> io::Result<()> {
+    pub async fn crash(&self) -> io::Result<()> {
         let before = {
-            let mut standing = held(&self.standing);
-            if matches!(*standing, Standing::Down(_)) {
+            let mut state = lock(&self.state);
+            if matches!(*state, State::Down(_)) {
                 return Ok(());
             }
-            std::mem::replace(&mut *standing, Standing::Down(Vec::new()))
+            std::mem::replace(&mut *state, State::Down(Vec::new()))
         };
-        let Standing::Up { life, accepting } = before else { return Ok(()) };
+        let State::Up { lifetime, accepting } = before else { return Ok(()) };
         for task in accepting {
             task.abort();
             let _ = task.await;
         }
         // At once, so that nobody who connects anywhere is given one of these ports as its own.
-        let sockets = self.dial.iter().map(|at| socket(*at)).collect::<io::Result<Vec<_>>>()?;
-        life.send_replace(());
-        life.closed().await;
+        let sockets = self.addresses.iter().map(|at| bind_socket(*at)).collect::<io::Result<Vec<_>>>()?;
+        lifetime.send_replace(());
+        lifetime.closed().await;
         let shared = &self.shared;
-        for resting in held(&self.resting).drain(..) {
-            shared.tally.decrement(shared.side(resting.dispatcher), Gauge::Resting);
-            resting.connection.reset();
+        for idle_connections in lock(&self.idle_connections).drain(..) {
+            shared.metrics.decrement(shared.source(idle_connections.dispatcher), Gauge::Resting);
+            idle_connections.connection.reset();
         }
-        for (id, ran) in held(&self.slots).drop_all() {
+        for (id, was_running) in lock(&self.slots).drop_all() {
             if let Some(dispatcher) = shared.dispatcher(&id) {
-                let side = shared.side(dispatcher);
-                shared.tally.add(side, Counter::Lost, 1);
-                shared.tally.decrement(side, if ran { Gauge::Running } else { Gauge::Queued });
+                let source = shared.source(dispatcher);
+                shared.metrics.add(source, Counter::Lost, 1);
+                shared.metrics.decrement(source, if was_running { Gauge::Running } else { Gauge::Queued });
             }
         }
-        *held(&self.standing) = Standing::Down(sockets);
+        *lock(&self.state) = State::Down(sockets);
         Ok(())
     }
 
     /// Takes a request of a dispatcher on this side: the number that it has here.
-    pub fn take(self: &Arc<Self>, side: TrafficSource, id: &str, work_us: u64) -> u64 {
-        self.shared.tally.increment(side, Gauge::Queued);
-        let (job, start) = held(&self.slots).accept(self.shared.now_us(), id, work_us);
-        self.begin(start);
+    pub fn accept_request(self: &Arc<Self>, source: TrafficSource, id: &str, work_us: u64) -> u64 {
+        self.shared.metrics.increment(source, Gauge::Queued);
+        let (job, started) = lock(&self.slots).accept(self.shared.now_us(), id, work_us);
+        self.start_job(started);
         job
     }
 
     /// A request is given up, by its id or, before it was answered, by its number here.
-    pub fn give_up(&self, side: TrafficSource, id: &str, job: Option<u64>) {
-        let given_up = match job {
-            Some(job) => held(&self.slots).cancel(job),
-            None => held(&self.slots).cancel_newest(id),
+    pub fn cancel(&self, source: TrafficSource, id: &str, job: Option<u64>) {
+        let outcome = match job {
+            Some(job) => lock(&self.slots).cancel(job),
+            None => lock(&self.slots).cancel_newest(id),
         };
-        match given_up {
+        match outcome {
             CancelOutcome::Queued => {
-                self.shared.tally.decrement(side, Gauge::Queued);
-                self.shared.tally.add(side, Counter::GivenUpWaiting, 1);
+                self.shared.metrics.decrement(source, Gauge::Queued);
+                self.shared.metrics.add(source, Counter::GivenUpWaiting, 1);
             }
-            CancelOutcome::Running => self.shared.tally.add(side, Counter::GivenUpRunning, 1),
+            CancelOutcome::Running => self.shared.metrics.add(source, Counter::GivenUpRunning, 1),
             CancelOutcome::Unknown => {}
         }
     }
 
     /// Whether a request of this id is here and wanted.
-    pub fn holds(&self, id: &str) -> bool {
-        held(&self.slots).is_wanted(id)
+    pub fn has_wanted(&self, id: &str) -> bool {
+        lock(&self.slots).is_wanted(id)
     }
 
     pub fn load(&self) -> Load {
-        held(&self.slots).load()
+        lock(&self.slots).load()
     }
 
-    fn begin(self: &Arc<Self>, start: Option<StartedJob>) {
-        let Some(start) = start else { return };
-        let Some(dispatcher) = self.shared.dispatcher(&start.id) else { return };
-        let (side, tally) = (self.shared.side(dispatcher), &self.shared.tally);
-        tally.decrement(side, Gauge::Queued);
-        tally.increment(side, Gauge::Running);
+    fn start_job(self: &Arc<Self>, start: Option<StartedJob>) {
+        let Some(job) = start else { return };
+        let Some(dispatcher) = self.shared.dispatcher(&job.id) else { return };
+        let (source, metrics) = (self.shared.source(dispatcher), &self.shared.metrics);
+        metrics.decrement(source, Gauge::Queued);
+        metrics.increment(source, Gauge::Running);
         // One that just vanished begins nothing: it is lost with the rest.
-        let Standing::Up { life, .. } = &*held(&self.standing) else { return };
-        tally.add(side, Counter::Started, 1);
-        (self.shared.began)(&start.id, self.number);
-        let mut life = life.subscribe();
+        let State::Up { lifetime, .. } = &*lock(&self.state) else { return };
+        metrics.add(source, Counter::Started, 1);
+        (self.shared.on_start)(&job.id, self.number);
+        let mut lifetime = lifetime.subscribe();
         let runner = self.clone();
         tokio::spawn(async move {
             tokio::select! {
                 biased;
-                _ = life.changed() => {}
-                () = runner.run(dispatcher, start) => {}
+                _ = lifetime.changed() => {}
+                () = runner.run_job(dispatcher, job) => {}
             }
         });
     }
 
-    async fn run(self: &Arc<Self>, dispatcher: usize, start: StartedJob) {
-        let (side, tally) = (self.shared.side(dispatcher), &self.shared.tally);
+    async fn run_job(self: &Arc<Self>, dispatcher: usize, job: StartedJob) {
+        let (source, metrics) = (self.shared.source(dispatcher), &self.shared.metrics);
         // Its slot is free at its end, however long its dispatcher is deaf.
         let work = async {
-            tokio::time::sleep_until(self.shared.epoch + Duration::from_micros(start.ends_us)).await;
-            let ended = held(&self.slots).finish(self.shared.now_us(), start.job);
-            tally.decrement(side, Gauge::Running);
-            tally.add(side, Counter::Ended, 1);
+            tokio::time::sleep_until(self.shared.epoch + Duration::from_micros(job.ends_us)).await;
+            let ended = lock(&self.slots).finish(self.shared.now_us(), job.job);
+            metrics.decrement(source, Gauge::Running);
+            metrics.add(source, Counter::Ended, 1);
             ended.is_some_and(|ended| {
-                self.begin(ended.next);
+                self.start_job(ended.next_started);
                 ended.wanted
             })
         };
-        let told = async {
-            if self.shared.manner.reports_start {
-                self.tell(dispatcher, &start.id, "started").await;
+        let start_callback = async {
+            if self.shared.profile.reports_start {
+                self.call_back(dispatcher, &job.id, "started").await;
             }
         };
-        let (wanted, ()) = tokio::join!(work, told);
+        let (wanted, ()) = tokio::join!(work, start_callback);
         if wanted {
-            self.tell(dispatcher, &start.id, "done").await;
+            self.call_back(dispatcher, &job.id, "done").await;
         }
     }
 }
--- a/stand-ins/src/hollow/shared.rs
+++ b/stand-ins/src/hollow/shared.rs
@@ -10,12 +10,12 @@
 
 /// What all runners have in common.
 pub struct Shared {
-    pub manner: Profile,
+    pub profile: Profile,
     pub views: Vec<View>,
     pub dispatchers: Vec<Dispatcher>,
     pub link: RegionLink,
-    pub tally: RunnerMetrics,
-    pub began: OnStart,
+    pub metrics: RunnerMetrics,
+    pub on_start: OnStart,
     /// Times of slots count from here.
     pub epoch: Instant,
 }
@@ -23,8 +23,8 @@
 impl Shared {
     /// The dispatcher that an id names by its first digits, if it has the form of one.
     pub fn dispatcher(&self, id: &str) -> Option<usize> {
-        let formed = id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit());
-        let number = usize::from_str_radix(id.get(..4).filter(|_| formed)?, 16).ok()?;
+        let well_formed = id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit());
+        let number = usize::from_str_radix(id.get(..4).filter(|_| well_formed)?, 16).ok()?;
         (number < self.dispatchers.len()).then_some(number)
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// The side of a dispatcher.
-    pub fn side(&self, dispatcher: usize) -> TrafficSource {
+    pub fn source(&self, dispatcher: usize) -> TrafficSource {
         self.view(dispatcher).source
     }
 
--- a/stand-ins/src/hollow/slots.rs
+++ b/stand-ins/src/hollow/slots.rs
@@ -23,10 +23,10 @@
         let from = self.initial_speed.max(0.0);
         let (work, growth) = (work_us as f64, (1.0 - from) / self.duration_us as f64);
         let speed = from + growth * age_us as f64;
-        let left = (self.duration_us - age_us) as f64;
-        let done = speed * left + growth * left * left / 2.0;
+        let remaining = (self.duration_us - age_us) as f64;
+        let done = speed * remaining + growth * remaining * remaining / 2.0;
         let time = match work > done {
-            true => left + (work - done),
+            true => remaining + (work - done),
             false => ((speed * speed + 2.0 * growth * work).sqrt() - speed) / growth,
         };
         time.ceil() as u64
@@ -50,7 +50,7 @@
     /// Whether somebody waits for it still.
     pub wanted: bool,
     /// The one that has its slot now.
-    pub next: Option<StartedJob>,
+    pub next_started: Option<StartedJob>,
 }
 
 /// What giving up has met.
@@ -85,58 +85,60 @@
 }
 
 /// Weight of the newest request in the running time of late.
-const NEWEST: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
 /// The slots of a runner.
 pub struct Slots {
-    warming: SlowStart,
+    slow_start: SlowStart,
     /// When it started cold, if it did.
-    born_us: Option<u64>,
-    waiting: VecDeque<u64>,
+    cold_start_us: Option<u64>,
+    queue: VecDeque<u64>,
     jobs: HashMap<u64, Job>,
     /// The newest job of each id.
     by_id: HashMap<String, u64>,
-    next: u64,
+    next_number: u64,
     load: Load,
 }
 
 impl Slots {
     /// A warm runner with so many.
-    pub fn new(slots: u32, warming: SlowStart) -> Slots {
+    pub fn new(slots: u32, slow_start: SlowStart) -> Slots {
         Slots {
-            warming,
-            born_us: None,
-            waiting: VecDeque::new(),
+            slow_start,
+            cold_start_us: None,
+            queue: VecDeque::new(),
             jobs: HashMap::new(),
             by_id: HashMap::new(),
-            next: 0,
+            next_number: 0,
             load: Load { slots, ..Load::default() },
         }
     }
 
     /// Takes a request: the number that it has here, and its start if a slot is free.
     pub fn accept(&mut self, now_us: u64, id: &str, work_us: u64) -> (u64, Option<StartedJob>) {
-        let job = self.next;
-        self.next += 1;
+        let job = self.next_number;
+        self.next_number += 1;
         self.by_id.insert(id.to_owned(), job);
         self.jobs.insert(job, Job { id: id.to_owned(), work_us, started_us: None, wanted: true });
-        self.waiting.push_back(job);
+        self.queue.push_back(job);
         self.load.queued += 1;
-        (job, self.begin(now_us))
+        (job, self.start_next(now_us))
     }
 
     /// The head of the queue gets a slot, if there are both.
-    fn begin(&mut self, now_us: u64) -> Option<StartedJob> {
+    fn start_next(&mut self, now_us: u64) -> Option<StartedJob> {
         if self.load.running >= self.load.slots {
             return None;
         }
-        let number = self.waiting.pop_front()?;
+        let number = self.queue.pop_front()?;
         let job = self.jobs.get_mut(&number)?;
         job.started_us = Some(now_us);
         self.load.queued -= 1;
         self.load.running += 1;
-        let time = match self.born_us {
-            Some(born) => self.warming.running_time_us(now_us.saturating_sub(born), job.work_us),
+        let time = match self.cold_start_us {
+            Some(cold_start) => {
+                self.slow_start.running_time_us(now_us.saturating_sub(cold_start), job.work_us)
+            }
             None => job.work_us,
         };
         Some(StartedJob { job: number, id: job.id.clone(), ends_us: now_us.saturating_add(time) })
@@ -144,14 +146,14 @@
 
     /// A request has run; none if it is of before a loss.
     pub fn finish(&mut self, now_us: u64, job: u64) -> Option<FinishedJob> {
-        let ended = self.forget(job)?;
+        let ended = self.remove(job)?;
         self.load.running -= 1;
         let time = now_us.saturating_sub(ended.started_us.unwrap_or(now_us)) as f64;
         self.load.mean_running_us = match self.load.mean_running_us {
             0.0 => time,
-            before => before + NEWEST * (time - before),
+            before => before + NEWEST_WEIGHT * (time - before),
         };
-        Some(FinishedJob { wanted: ended.wanted, next: self.begin(now_us) })
+        Some(FinishedJob { wanted: ended.wanted, next_started: self.start_next(now_us) })
     }
 
     /// The newest request of an id is given up.
@@ -168,8 +170,8 @@
                 CancelOutcome::Running
             }
             Some(_) => {
-                self.forget(job);
-                self.waiting.retain(|waiting| *waiting != job);
+                self.remove(job);
+                self.queue.retain(|queued| *queued != job);
                 self.load.queued -= 1;
                 CancelOutcome::Queued
             }
@@ -181,17 +183,17 @@
         self.by_id.get(id).and_then(|job| self.jobs.get(job)).is_some_and(|job| job.wanted)
     }
 
-    fn forget(&mut self, job: u64) -> Option<Job> {
-        let forgotten = self.jobs.remove(&job)?;
-        if self.by_id.get(&forgotten.id) == Some(&job) {
-            self.by_id.remove(&forgotten.id);
+    fn remove(&mut self, job: u64) -> Option<Job> {
+        let removed = self.jobs.remove(&job)?;
+        if self.by_id.get(&removed.id) == Some(&job) {
+            self.by_id.remove(&removed.id);
         }
-        Some(forgotten)
+        Some(removed)
     }
 
     /// All is lost: the ids of what was here, and whether it ran. Numbers are not given again.
     pub fn drop_all(&mut self) -> Vec<(String, bool)> {
-        self.waiting.clear();
+        self.queue.clear();
         self.by_id.clear();
         self.load = Load { slots: self.load.slots, ..Load::default() };
         self.jobs.drain().map(|(_, job)| (job.id, job.started_us.is_some())).collect()
@@ -199,7 +201,7 @@
 
     /// It starts cold.
     pub fn start_cold(&mut self, now_us: u64) {
-        self.born_us = Some(now_us);
+        self.cold_start_us = Some(now_us);
     }
 
     /// Its load.
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpStream;
 
 /// Largest message that is read.
-const MOST: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Room for the next bytes.
-const ROOM: usize = 1 << 10;
+const READ_RESERVE_BYTES: usize = 1 << 10;
 
 /// A message as it came.
 #[derive(Clone, Debug, Default)]
@@ -56,8 +56,8 @@
     }
 
     /// Opens one, for so long at the most.
-    pub async fn open(to: SocketAddr, wait: Duration) -> io::Result<Connection> {
-        let stream = tokio::time::timeout(wait, TcpStream::connect(to)).await;
+    pub async fn open(to: SocketAddr, timeout: Duration) -> io::Result<Connection> {
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(to)).await;
         let stream = stream.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         // On loopback a connection to a port that nobody listens on may be given that very port as its own
         // and meet itself: what is written on it is then read back as an answer.
@@ -70,12 +70,12 @@
     /// The next message; `None` where the stream ends between two.
     pub async fn read(&mut self) -> io::Result<Option<Message>> {
         loop {
-            if let Some((message, used)) = parse(&self.buffer)? {
-                self.buffer.drain(..used);
+            if let Some((message, length)) = parse(&self.buffer)? {
+                self.buffer.drain(..length);
                 return Ok(Some(message));
             }
             // A full buffer would be read into a few bytes at a time.
-            self.buffer.reserve(ROOM);
+            self.buffer.reserve(READ_RESERVE_BYTES);
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return if self.buffer.is_empty() {
                     Ok(None)
@@ -83,7 +83,7 @@
                     Err(io::ErrorKind::UnexpectedEof.into())
                 };
             }
-            if self.buffer.len() > MOST {
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
@@ -92,7 +92,7 @@
     /// Whether the other side has ended it. What it has written before is kept for the next [`Self::read`].
     pub fn is_closed(&mut self) -> bool {
         loop {
-            self.buffer.reserve(ROOM);
+            self.buffer.reserve(READ_RESERVE_BYTES);
             match self.stream.try_read_buf(&mut self.buffer) {
                 Ok(0) => return true,
                 Ok(_) => {}
@@ -118,7 +118,7 @@
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 return Ok(String::from_utf8_lossy(&line).trim_end().to_owned());
             }
-            self.buffer.reserve(ROOM);
+            self.buffer.reserve(READ_RESERVE_BYTES);
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -139,20 +139,20 @@
 }
 
 /// One exchange on a connection of its own, for so long at the most.
-pub async fn call(to: SocketAddr, head: &str, body: &[u8], wait: Duration) -> io::Result<Message> {
+pub async fn call(to: SocketAddr, head: &str, body: &[u8], timeout: Duration) -> io::Result<Message> {
     let exchange = async {
-        let mut connection = Connection::open(to, wait).await?;
+        let mut connection = Connection::open(to, timeout).await?;
         connection.write(head, body).await?;
         connection.read().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     };
-    tokio::time::timeout(wait, exchange).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    tokio::time::timeout(timeout, exchange).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 /// Reads a message from a blocking stream, and not a byte beyond it; `None` where there is none.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
-    let mut seen = Vec::new();
+    let mut buffer = Vec::new();
     loop {
-        let before = seen.len();
+        let buffered = buffer.len();
         let chunk = match from.fill_buf() {
             Ok(chunk) => chunk,
             // A read with a time limit is not begun anew after a signal: a child that stops, for one.
@@ -160,10 +160,10 @@
             Err(_) => return None,
         };
         let read = chunk.len();
-        seen.extend_from_slice(chunk);
-        match parse(&seen).ok()? {
-            Some((message, used)) => {
-                from.consume(used - before);
+        buffer.extend_from_slice(chunk);
+        match parse(&buffer).ok()? {
+            Some((message, length)) => {
+                from.consume(length - buffered);
                 return Some(message);
             }
             None if read == 0 => return None,
--- a/stand-ins/src/program.rs
+++ b/stand-ins/src/program.rs
@@ -13,14 +13,14 @@
 ///
 /// If none is free.
 pub fn free_port() -> std::io::Result<SocketAddr> {
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..100 {
         match std::net::TcpListener::bind(("127.0.0.1", fastrand::u16(18_000..28_000))) {
             Ok(listener) => return listener.local_addr(),
-            Err(e) => last = Some(e),
+            Err(e) => last_error = Some(e),
         }
     }
-    Err(last.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into()))
+    Err(last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into()))
 }
 
 /// The program beside this one.
@@ -29,10 +29,10 @@
 ///
 /// Says how to build it.
 pub fn program_path() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
+    let current_exe = std::env::current_exe().map_err(|e| e.to_string())?;
     // Tests stand one folder below.
-    let beside = own.with_file_name("sablerun");
-    let above = own.parent().and_then(Path::parent).map(|folder| folder.join("sablerun"));
+    let beside = current_exe.with_file_name("sablerun");
+    let above = current_exe.parent().and_then(Path::parent).map(|folder| folder.join("sablerun"));
     if let Some(found) = [Some(beside.clone()), above].into_iter().flatten().find(|path| path.is_file()) {
         return Ok(found);
     }
--- a/stand-ins/src/scripted.rs
+++ b/stand-ins/src/scripted.rs
@@ -28,16 +28,16 @@
     call_blocking(at, head, body).expect("an answer")
 }
 
-fn word_of(text: &str) -> &'static str {
-    let words = ["error", "away", "reset", "hang", "early", "mute", "unusable"];
-    words.into_iter().find(|word| text.contains(word)).unwrap_or("serve")
+fn behaviour_of(text: &str) -> &'static str {
+    let behaviours = ["error", "away", "reset", "hang", "early", "mute", "unusable"];
+    behaviours.into_iter().find(|behaviour| text.contains(behaviour)).unwrap_or("serve")
 }
 
 /// A client's request on the platform's front.
-pub fn api_request(class: &str, id: &str, timeout: &str, more: &str) -> String {
+pub fn api_request(class: &str, id: &str, timeout: &str, more_headers: &str) -> String {
     format!(
         "POST /api?sid=7f3a HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
-         X-Tenant-Id: mehran-dist\r\nX-Timeout: {timeout}\r\nIdempotency-Key: key-{id}{more}"
+         X-Tenant-Id: mehran-dist\r\nX-Timeout: {timeout}\r\nIdempotency-Key: key-{id}{more_headers}"
     )
 }
 
--- a/stand-ins/src/scripted/events.rs
+++ b/stand-ins/src/scripted/events.rs
@@ -17,19 +17,19 @@
         self.0.0.lock().unwrap().clone()
     }
 
-    pub fn count(&self, part: &str) -> usize {
-        self.all().iter().filter(|event| event.contains(part)).count()
+    pub fn count(&self, text: &str) -> usize {
+        self.all().iter().filter(|event| event.contains(text)).count()
     }
 
     /// Waits until this many events hold the text; the last of them.
-    pub fn wait(&self, part: &str, times: usize) -> String {
+    pub fn wait(&self, text: &str, count: usize) -> String {
         let found =
-            |all: &Vec<String>| all.iter().filter(|event| event.contains(part)).nth(times - 1).cloned();
+            |all: &Vec<String>| all.iter().filter(|event| event.contains(text)).nth(count - 1).cloned();
         let (all, _) = self
             .0
             .1
             .wait_timeout_while(self.0.0.lock().unwrap(), EVENT_TIMEOUT, |all| found(all).is_none())
             .unwrap();
-        found(&all).unwrap_or_else(|| panic!("no {part:?} x{times} among {all:#?}"))
+        found(&all).unwrap_or_else(|| panic!("no {text:?} x{count} among {all:#?}"))
     }
 }
--- a/stand-ins/src/scripted/faktory.rs
+++ b/stand-ins/src/scripted/faktory.rs
@@ -1,6 +1,6 @@
 //! Faktory clients and workers that do as a test says. They own their side of the conversation.
 
-use super::{Events, word_of};
+use super::{Events, behaviour_of};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,10 +13,11 @@
 
 impl FaktoryConnection<TcpStream> {
     /// Connects and says HELLO, as a worker if there is a wid.
-    pub fn connect(at: SocketAddr, wid: Option<&str>) -> FaktoryConnection<TcpStream> {
-        let mut caller = FaktoryConnection { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
-        caller.hello(wid);
-        caller
+    pub fn connect(address: SocketAddr, wid: Option<&str>) -> FaktoryConnection<TcpStream> {
+        let mut connection =
+            FaktoryConnection { stream: BufReader::new(TcpStream::connect(address).unwrap()) };
+        connection.hello(wid);
+        connection
     }
 }
 
@@ -58,45 +59,45 @@
     }
 }
 
-pub fn job(queue: &str, jid: &str, word: &str, custom: Value) -> String {
-    json!({"jid": jid, "jobtype": "ShortPick", "queue": queue, "args": [word], "custom": custom}).to_string()
+pub fn job(queue: &str, jid: &str, behaviour: &str, custom: Value) -> String {
+    json!({"jid": jid, "jobtype": "ShortPick", "queue": queue, "args": [behaviour], "custom": custom})
+        .to_string()
 }
 
 /// A worker process with so many connections, each of which fetches until its end. It does with jobs
 /// what a [`Runner`] does; one that hangs is FAILed when the test says so.
-pub fn worker(at: SocketAddr, wid: &str, connections: usize, seen: &Events) {
+pub fn worker(address: SocketAddr, wid: &str, connections: usize, events: &Events) {
     for _ in 0..connections {
-        let (mut caller, seen, wid) =
-            (FaktoryConnection::connect(at, Some(wid)), seen.clone(), wid.to_owned());
+        let (mut connection, events, wid) =
+            (FaktoryConnection::connect(address, Some(wid)), events.clone(), wid.to_owned());
         thread::spawn(move || {
             loop {
-                caller.send("FETCH routes waves picks");
-                let Some(job) = caller.read_fetched() else {
-                    if caller.stream.get_ref().peer_addr().is_err() {
+                connection.send("FETCH routes waves picks");
+                let Some(job) = connection.read_fetched() else {
+                    if connection.stream.get_ref().peer_addr().is_err() {
                         return;
                     }
-                    if caller.command(&format!("BEAT {}", json!({"wid": wid}))) != "+OK" {
+                    if connection.command(&format!("BEAT {}", json!({"wid": wid}))) != "+OK" {
                         return;
                     }
                     continue;
                 };
                 let jid = job["jid"].as_str().unwrap().to_owned();
-                let word = word_of(&job["args"].to_string());
-                seen.push(format!("{wid} got {word} {jid} {job}"));
-                let reply = match word {
+                let behaviour = behaviour_of(&job["args"].to_string());
+                events.push(format!("{wid} got {behaviour} {jid} {job}"));
+                let reply = match behaviour {
                     "reset" => {
-                        drop(caller);
-                        caller = FaktoryConnection::connect(at, Some(&wid));
+                        drop(connection);
+                        connection = FaktoryConnection::connect(address, Some(&wid));
                         continue;
                     }
-                    "error" => caller.command(&format!("FAIL {}", json!({"jid": jid, "message": "no"}))),
+                    "error" => connection.command(&format!("FAIL {}", json!({"jid": jid, "message": "no"}))),
                     // Nobody waits for it any more by the time that a later job is done.
                     "hang" | "mute" => continue,
-                    _ => {
-                        caller.command(&format!("ACK {}", json!({"jid": jid, "result": format!("by {wid}")})))
-                    }
+                    _ => connection
+                        .command(&format!("ACK {}", json!({"jid": jid, "result": format!("by {wid}")}))),
                 };
-                seen.push(format!("{wid} told {word} {jid} -> {reply}"));
+                events.push(format!("{wid} told {behaviour} {jid} -> {reply}"));
             }
         });
     }
--- a/stand-ins/src/scripted/program.rs
+++ b/stand-ins/src/scripted/program.rs
@@ -66,8 +66,8 @@
 pub fn test_dir() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let own = std::env::current_exe().unwrap();
-    let folder = own.with_file_name("tmp").join(format!("{}-{number}", std::process::id()));
+    let test_exe = std::env::current_exe().unwrap();
+    let folder = test_exe.with_file_name("tmp").join(format!("{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
@@ -138,23 +138,23 @@
     }
 
     /// The same, and waits for another word of its log than of its first list.
-    pub fn spawn_until(mut command: Command, faktory: bool, word: &str) -> Program {
-        let told = |what: &str| {
-            let told = command.get_envs().find(|(name, _)| *name == what).unwrap().1.unwrap();
-            PathBuf::from(told)
+    pub fn spawn_until(mut command: Command, faktory: bool, text: &str) -> Program {
+        let env_path = |variable: &str| {
+            let value = command.get_envs().find(|(name, _)| *name == variable).unwrap().1.unwrap();
+            PathBuf::from(value)
         };
-        let (config, temp_dir) = (told("NODE_CONFIG"), told("TMPDIR"));
+        let (config, temp_dir) = (env_path("NODE_CONFIG"), env_path("TMPDIR"));
         let mut child = command.spawn().unwrap();
         let (log, lines) = (Events::default(), BufReader::new(child.stderr.take().unwrap()));
-        let told = log.clone();
-        thread::spawn(move || lines.lines().map_while(Result::ok).for_each(|line| told.push(line)));
-        let after = |line: String, word: &str| {
-            let rest = line.split_once(word).unwrap().1;
+        let events = log.clone();
+        thread::spawn(move || lines.lines().map_while(Result::ok).for_each(|line| events.push(line)));
+        let address_after = |line: String, text: &str| {
+            let rest = line.split_once(text).unwrap().1;
             rest.split([' ', ',']).next().unwrap().parse::<SocketAddr>().unwrap()
         };
-        let address = after(log.wait("ready on ", 1), "ready on ");
-        let faktory_address = faktory.then(|| after(log.wait("faktory on ", 1), "faktory on "));
-        log.wait(word, 1);
+        let address = address_after(log.wait("ready on ", 1), "ready on ");
+        let faktory_address = faktory.then(|| address_after(log.wait("faktory on ", 1), "faktory on "));
+        log.wait(text, 1);
         Program { child, address, faktory_address, log, config, temp_dir }
     }
 
--- a/stand-ins/src/scripted/runner.rs
+++ b/stand-ins/src/scripted/runner.rs
@@ -1,7 +1,7 @@
 //! Discovery and runners of the platform for one dispatcher, that do as a test says. They own what is answered;
 //! they must never do anything that no test has planned.
 
-use super::{EVENT_TIMEOUT, Events, Program, word_of};
+use super::{EVENT_TIMEOUT, Events, Program, behaviour_of};
 use crate::discovery::PlannedReply;
 use crate::http::{self, Connection};
 use serde_json::{Value, json};
@@ -36,9 +36,9 @@
     }
 
     /// Its first calls go as planned.
-    pub fn start_with_replies(hosts: Vec<Value>, plan: &[PlannedReply]) -> Discovery {
+    pub fn start_with_replies(hosts: Vec<Value>, replies: &[PlannedReply]) -> Discovery {
         let service = background()
-            .block_on(crate::discovery::Discovery::start_with_replies(vec![hosts], plan))
+            .block_on(crate::discovery::Discovery::start_with_replies(vec![hosts], replies))
             .unwrap();
         Discovery { address: service.addresses[0], request_lines: service.request_lines.clone(), service }
     }
@@ -79,12 +79,12 @@
         let listener = background().block_on(TcpListener::bind("127.0.0.1:0")).unwrap();
         let address = listener.local_addr().unwrap();
         let (events, dispatcher) = (Events::default(), Arc::new(OnceLock::new()));
-        let (told, to, name) = (events.clone(), dispatcher.clone(), name.to_owned());
+        let (seen, target, name) = (events.clone(), dispatcher.clone(), name.to_owned());
         background().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (told, to, name) = (told.clone(), to.clone(), name.clone());
+                let (seen, target, name) = (seen.clone(), target.clone(), name.clone());
                 tokio::spawn(async move {
-                    let _ = Runner::serve(Connection::new(stream), &name, &told, &to).await;
+                    let _ = Runner::serve(Connection::new(stream), &name, &seen, &target).await;
                 });
             }
         });
@@ -98,28 +98,28 @@
     async fn serve(
         mut connection: Connection,
         name: &str,
-        seen: &Events,
-        to: &OnceLock<SocketAddr>,
+        events: &Events,
+        dispatcher: &OnceLock<SocketAddr>,
     ) -> io::Result<()> {
         while let Some(request) = connection.read().await? {
             if let Some(id) = request.target.strip_prefix("/jobs/") {
                 connection.write("HTTP/1.1 200 OK", b"").await?;
-                seen.push(format!("DELETE {id}"));
+                events.push(format!("DELETE {id}"));
                 continue;
             }
             let id = request.header("x-request-id").to_owned();
-            let word = word_of(&request.body);
-            seen.push(format!("POST {word} {id} POST {} HTTP/1.1 {}", request.target, request.body));
-            let back = async |state: &str, more: Value| {
-                let mut body = json!({"id": id, "from": name, "state": state, "result": more});
+            let behaviour = behaviour_of(&request.body);
+            events.push(format!("POST {behaviour} {id} POST {} HTTP/1.1 {}", request.target, request.body));
+            let call_back = async |state: &str, result: Value| {
+                let mut body = json!({"id": id, "from": name, "state": state, "result": result});
                 body["load"] = json!({"outstanding": 1, "recent_ms": 10.0, "x0": 4, "errors_per_s": 0});
                 let head = "POST /v1/job-events HTTP/1.1\r\nHost: t";
-                let at = *to.get().unwrap();
-                http::call(at, head, body.to_string().as_bytes(), EVENT_TIMEOUT)
+                let address = *dispatcher.get().unwrap();
+                http::call(address, head, body.to_string().as_bytes(), EVENT_TIMEOUT)
                     .await
                     .map(|answer| answer.status)
             };
-            match word {
+            match behaviour {
                 "mute" => {}
                 "reset" => return Ok(()),
                 "unusable" => connection.write("HTTP/1.1 400 Bad Request", b"").await?,
@@ -128,22 +128,22 @@
                 }
                 "hang" => connection.write("HTTP/1.1 202 Accepted", b"").await?,
                 "early" => {
-                    back("done", json!(format!("by {name}"))).await?;
+                    call_back("done", json!(format!("by {name}"))).await?;
                     connection.write("HTTP/1.1 202 Accepted", b"").await?;
                 }
                 _ => {
                     connection.write("HTTP/1.1 202 Accepted", b"").await?;
-                    back("started", Value::Null).await?;
-                    let state = if word == "error" { "failed" } else { "done" };
+                    call_back("started", Value::Null).await?;
+                    let state = if behaviour == "error" { "failed" } else { "done" };
                     // A call-back may come more than once.
                     for _ in 0..2 {
-                        let answer = back(state, json!(format!("by {name}"))).await?;
-                        seen.push(format!("{state} {id} -> {answer}"));
+                        let answer = call_back(state, json!(format!("by {name}"))).await?;
+                        events.push(format!("{state} {id} -> {answer}"));
                     }
                 }
             }
         }
-        seen.push("closed");
+        events.push("closed");
         Ok(())
     }
 }
--- a/stand-ins/tests/common/mod.rs
+++ b/stand-ins/tests/common/mod.rs
@@ -16,7 +16,7 @@
 /// Longest that an event may take before the test fails.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Work that never ends in a test.
-pub const LONG: u64 = 3_600_000_000;
+pub const ENDLESS_WORK_US: u64 = 3_600_000_000;
 
 /// The next of some events.
 pub async fn next<T>(from: &mut UnboundedReceiver<T>) -> T {
@@ -38,17 +38,17 @@
 pub type Reply = Box<dyn FnMut(&Value) -> Option<u16> + Send>;
 
 /// Where a dispatcher hears call-backs.
-pub struct Ear {
+pub struct CallbackListener {
     pub at: SocketAddr,
-    pub heard: UnboundedReceiver<(Message, Value)>,
+    pub received: UnboundedReceiver<(Message, Value)>,
 }
 
-impl Ear {
-    pub async fn open(mut reply: Reply) -> Ear {
+impl CallbackListener {
+    pub async fn open(mut reply: Reply) -> CallbackListener {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
         let (calls, mut called) = unbounded_channel::<(Message, UnboundedSender<Option<u16>>)>();
-        let (tell, heard) = unbounded_channel();
+        let (sender, received) = unbounded_channel();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let calls = calls.clone();
@@ -67,25 +67,25 @@
             while let Some((message, answer)) = called.recv().await {
                 let body: Value = serde_json::from_str(&message.body).unwrap();
                 let _ = answer.send(reply(&body));
-                let _ = tell.send((message, body));
+                let _ = sender.send((message, body));
             }
         });
-        Ear { at, heard }
+        CallbackListener { at, received }
     }
 
     /// The next call-back: id and state.
     pub async fn next(&mut self) -> (String, String) {
-        let body = next(&mut self.heard).await.1;
+        let body = next(&mut self.received).await.1;
         (body["id"].as_str().unwrap().to_owned(), body["state"].as_str().unwrap().to_owned())
     }
 }
 
 /// Runners of these slots, all in region 0, between an ear for each of four dispatchers, one for each view.
-pub struct Stage {
+pub struct Fixture {
     pub runners: Runners,
-    pub dial: Vec<Vec<SocketAddr>>,
-    pub ears: Vec<Ear>,
-    pub began: UnboundedReceiver<(String, usize)>,
+    pub addresses: Vec<Vec<SocketAddr>>,
+    pub listeners: Vec<CallbackListener>,
+    pub started: UnboundedReceiver<(String, usize)>,
 }
 
 pub fn settings() -> Value {
@@ -97,33 +97,32 @@
     })
 }
 
-impl Stage {
-    pub async fn set(slots: &[u32], settings: Value) -> Stage {
+impl Fixture {
+    pub async fn start(slots: &[u32], settings: Value) -> Fixture {
         let replies = (0..4).map(|_| Box::new(|_: &Value| Some(200u16)) as Reply).collect();
-        Stage::with(slots, settings, replies).await
+        Fixture::start_with_replies(slots, settings, replies).await
     }
 
-    pub async fn with(slots: &[u32], settings: Value, replies: Vec<Reply>) -> Stage {
-        let mut ears = Vec::new();
+    pub async fn start_with_replies(slots: &[u32], settings: Value, replies: Vec<Reply>) -> Fixture {
+        let mut listeners = Vec::new();
         for reply in replies {
-            ears.push(Ear::open(reply).await);
+            listeners.push(CallbackListener::open(reply).await);
         }
-        let planned = slots.iter().enumerate();
-        let planned: Vec<_> = planned
-            .map(|(n, slots)| RunnerSpec { name: format!("r-{n}"), region: 0, slots: *slots })
-            .collect();
-        let dispatchers: Vec<_> = ears
+        let specs = slots.iter().enumerate();
+        let specs: Vec<_> =
+            specs.map(|(n, slots)| RunnerSpec { name: format!("r-{n}"), region: 0, slots: *slots }).collect();
+        let dispatchers: Vec<_> = listeners
             .iter()
             .enumerate()
-            .map(|(view, ear)| Dispatcher { callback_address: ear.at, view })
+            .map(|(view, listener)| Dispatcher { callback_address: listener.at, view })
             .collect();
-        let (tell, began) = unbounded_channel();
-        let record = Box::new(move |id: &str, runner: usize| tell.send((id.to_owned(), runner)).unwrap());
-        let mut manner = Profile::from_settings(&settings);
+        let (sender, started) = unbounded_channel();
+        let record = Box::new(move |id: &str, runner: usize| sender.send((id.to_owned(), runner)).unwrap());
+        let mut profile = Profile::from_settings(&settings);
         // Patient: a busy machine must not look like a deaf dispatcher.
-        manner.callback_timeout = EVENT_TIMEOUT;
-        let runners = Runners::start(&planned, &views(), &dispatchers, manner, record).await.unwrap();
-        Stage { dial: runners.addresses(), runners, ears, began }
+        profile.callback_timeout = EVENT_TIMEOUT;
+        let runners = Runners::start(&specs, &views(), &dispatchers, profile, record).await.unwrap();
+        Fixture { addresses: runners.addresses(), runners, listeners, started }
     }
 
     pub fn value(&self, name: &str) -> u64 {
@@ -132,17 +131,17 @@
 }
 
 /// An id of a dispatcher's request.
-pub fn id(dispatcher: usize, number: usize) -> String {
+pub fn request_id(dispatcher: usize, number: usize) -> String {
     format!("{dispatcher:04x}{number:012x}")
 }
 
 /// One side of a connection to a runner.
-pub async fn dial(at: SocketAddr) -> Connection {
+pub async fn connect(at: SocketAddr) -> Connection {
     Connection::open(at, EVENT_TIMEOUT).await.unwrap()
 }
 
 /// Writes a request, and returns how long it is.
-pub async fn send(connection: &mut Connection, id: &str, work_us: u64) -> usize {
+pub async fn send_request(connection: &mut Connection, id: &str, work_us: u64) -> usize {
     let body = json!({"work_us": work_us}).to_string();
     let head = format!("POST /api?sid=7f3a HTTP/1.1\r\nHost: r\r\nX-Request-ID: {id}");
     let bytes = format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -151,7 +150,7 @@
 }
 
 /// The answer on a connection.
-pub async fn answer(connection: &mut Connection) -> Message {
+pub async fn read_answer(connection: &mut Connection) -> Message {
     let read = tokio::time::timeout(EVENT_TIMEOUT, connection.read()).await.expect("an answer in time");
     read.expect("a connection that stands").expect("an answer")
 }
@@ -159,5 +158,5 @@
 /// A call without a body.
 pub async fn call(connection: &mut Connection, line: &str) -> Message {
     connection.write(&format!("{line} HTTP/1.1\r\nHost: r"), b"").await.unwrap();
-    answer(connection).await
+    read_answer(connection).await
 }
--- a/stand-ins/tests/slots.rs
+++ b/stand-ins/tests/slots.rs
@@ -16,9 +16,9 @@
     assert_eq!(ids, [Some(("a", 110)), Some(("b", 110)), None, None]);
     assert_eq!(slots.load(), Load { slots: 2, running: 2, queued: 2, mean_running_us: 0.0 });
 
-    let ended = slots.finish(110, starts[1].as_ref().unwrap().job).unwrap();
-    let next = ended.next.unwrap();
-    assert!(ended.wanted);
+    let finished = slots.finish(110, starts[1].as_ref().unwrap().job).unwrap();
+    let next = finished.next_started.unwrap();
+    assert!(finished.wanted);
     assert_eq!((next.id.as_str(), next.ends_us), ("c", 210), "the queue's head, for its own time");
     assert_eq!(slots.load(), Load { slots: 2, running: 2, queued: 1, mean_running_us: 100.0 });
     assert_eq!(slots.finish(110, starts[1].as_ref().unwrap().job), None, "it has ended once");
@@ -36,17 +36,17 @@
     assert_eq!(slots.cancel_newest("a"), CancelOutcome::Running);
     assert!(!slots.is_wanted("a"));
     assert_eq!(slots.load().running, 1, "its slot is held to its end");
-    let ended = slots.finish(50, first.job).unwrap();
-    assert!(!ended.wanted);
-    assert_eq!(ended.next.unwrap().id, "c");
+    let finished = slots.finish(50, first.job).unwrap();
+    assert!(!finished.wanted);
+    assert_eq!(finished.next_started.unwrap().id, "c");
 }
 
 #[test]
 fn a_second_attempt_of_an_id_is_one_of_its_own() {
     let mut slots = slots(1);
     let (first, start) = slots.accept(0, "a", 50);
-    let (second, waits) = slots.accept(1, "a", 50);
-    assert!(start.is_some() && waits.is_none() && first != second);
+    let (second, queued) = slots.accept(1, "a", 50);
+    assert!(start.is_some() && queued.is_none() && first != second);
     assert_eq!(slots.cancel_newest("a"), CancelOutcome::Queued, "the newest");
     assert!(slots.finish(50, first).unwrap().wanted, "the first is untouched");
 }
@@ -68,8 +68,8 @@
 
 #[test]
 fn a_cold_runner_works_at_a_speed_that_grows_to_full() {
-    let warming = SlowStart { initial_speed: 0.5, duration_us: 8_000_000 };
-    let mut slots = Slots::new(9, warming);
+    let slow_start = SlowStart { initial_speed: 0.5, duration_us: 8_000_000 };
+    let mut slots = Slots::new(9, slow_start);
     assert_eq!(slots.accept(0, "warm", 1_000).1.unwrap().ends_us, 1_000, "never restarted: warm");
     slots.drop_all();
     slots.start_cold(100);
@@ -84,18 +84,18 @@
 
 #[test]
 fn the_work_done_is_the_sum_of_the_speed_over_the_time() {
-    let warming = SlowStart { initial_speed: 0.32, duration_us: 8_600_000 };
+    let slow_start = SlowStart { initial_speed: 0.32, duration_us: 8_600_000 };
     let speed = |age: f64| (0.32 + 0.68 * age / 8.6e6).min(1.0);
     for age in [0u64, 1_000, 4_000_000, 8_599_999] {
         for work in [1u64, 10_000, 2_000_000, 9_000_000] {
-            let time = warming.running_time_us(age, work);
+            let time = slow_start.running_time_us(age, work);
             let steps = 20_000;
             let step = time as f64 / f64::from(steps);
             let done: f64 = (0..steps).map(|n| speed(age as f64 + step * (f64::from(n) + 0.5)) * step).sum();
-            let off = (done - work as f64).abs();
-            assert!(off <= 1.5 + work as f64 * 1e-6, "age {age}, work {work}: {time} does {done}");
+            let error = (done - work as f64).abs();
+            assert!(error <= 1.5 + work as f64 * 1e-6, "age {age}, work {work}: {time} does {done}");
         }
     }
-    let stuck = SlowStart { initial_speed: 0.0, duration_us: 1_000_000 };
-    assert_eq!(stuck.running_time_us(0, 500_000), 1_000_000, "from a standstill too");
+    let from_zero = SlowStart { initial_speed: 0.0, duration_us: 1_000_000 };
+    assert_eq!(from_zero.running_time_us(0, 500_000), 1_000_000, "from a standstill too");
 }
