--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: the list of runners and the watch on its changes, on an address of its own for each
-//! dispatcher, since a runner's `dial` differs from one to another. It owns the list's version, and does
-//! wrong what a test plans.
+//! A stand-in for the platform's discovery service: the runner list and the watch for its changes. Each
+//! dispatcher has its own listening address because a runner's `dial` address differs between dispatchers.
+//! Tests can script faulty replies.
 
 mod calls;
 pub mod lists;
@@ -21,9 +21,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::{broadcast, watch};
 
-/// Most changes that a watch may be behind; one that falls further back ends.
+/// The number of changes that a watch may lag behind; a watch that lags further is closed.
 const MAX_WATCH_LAG: usize = 1024;
-/// Wait before a listener that ran out of descriptors tries again.
+/// Pause before accepting again after an error, such as running out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 struct State {
@@ -31,51 +31,52 @@
     replies: VecDeque<PlannedReply>,
 }
 
-/// What a call gets in place of its due.
+/// A scripted reply that replaces the regular one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlannedReply {
-    /// 503.
+    /// Answers 503.
     Unavailable,
-    /// The connection's end.
+    /// Closes the connection without an answer.
     Close,
-    /// The list, and no line after it.
+    /// Sends the list but no further line.
     StalledWatch,
-    /// No answer at all.
+    /// Sends no answer at all.
     NoReply,
-    /// The list, no line after it until the first [`Discovery::resume`], then an empty one and what has changed.
+    /// Sends the list, then nothing until the first [`Discovery::resume`], then an empty line and the
+    /// changes since.
     DelayedUpdates,
-    /// The list as it is at the call, written at the second [`Discovery::resume`].
+    /// Sends the list as of the time of the call, but only at the second [`Discovery::resume`].
     DelayedList,
-    /// The list, and then an object a byte at a time that never ends.
+    /// Sends the list, then an object that never ends, one byte at a time.
     Trickle,
-    /// 503, and the connection's end as a further call comes on it.
+    /// Answers 503, and closes the connection when the next call arrives on it.
     UnavailableThenClose,
 }
 
-/// Who asks, and how they are told.
+/// The dispatchers that call, and the format of their lists.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// From where the list is seen.
+    /// The views of the list.
     pub views: Vec<View>,
-    /// The view of each dispatcher.
+    /// The index into `views` of each dispatcher.
     pub dispatcher_views: Vec<usize>,
-    /// Bytes of a watch's chunks; each object is one if left out.
+    /// The size of a watch's chunks; if `None`, one chunk per line.
     pub chunk_bytes: Option<usize>,
-    /// Whether changes come indented, as lists may.
+    /// Whether changes are sent as indented JSON, which the protocol permits.
     pub indented: bool,
-    /// How many changes are known to those who ask what came after a version.
+    /// The number of changes kept for calls that ask for the changes since a version.
     pub retained_changes: usize,
 }
 
 #[derive(Clone)]
 enum Change {
-    /// What is written, by view.
+    /// The line to write, by view.
     Lines(Arc<Vec<String>>),
-    /// Watches end.
+    /// Closes all watches.
     CloseWatches,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
@@ -84,14 +85,14 @@
     metrics: Arc<DiscoveryMetrics>,
     changes: broadcast::Sender<Change>,
     resumed: watch::Sender<usize>,
-    /// The calls' first lines.
+    /// The request line of each call.
     pub request_lines: Events,
-    /// Where each dispatcher asks.
+    /// The listening address for each dispatcher.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Discovery {
-    /// Serves each dispatcher its list.
+    /// Starts the service with one list for each dispatcher.
     ///
     /// # Errors
     ///
@@ -100,8 +101,8 @@
         Discovery::start_with_replies(hosts, &[]).await
     }
 
-    /// The same, whose first calls go as planned. Watches always begin with the whole list, in chunks that end
-    /// anywhere.
+    /// As [`Discovery::start`], with scripted replies to the first calls. Watches always begin with the
+    /// whole list, and their chunks may end anywhere in a line.
     ///
     /// # Errors
     ///
@@ -117,7 +118,7 @@
         Discovery::start_with_config(hosts, config, replies).await
     }
 
-    /// Serves each dispatcher the list of its view.
+    /// Starts the service with one list for each view.
     ///
     /// # Errors
     ///
@@ -159,7 +160,8 @@
         Ok(discovery)
     }
 
-    /// Tells every watch of a change: entries for each view. The version that it has.
+    /// Applies a change, given as entries for each view, and sends it to every watch. Returns the new
+    /// version.
     pub fn update(&self, changed: &[Vec<Value>]) -> u64 {
         let mut state = self.state.lock().expect("no holder panics");
         state.lists.apply(changed);
@@ -172,29 +174,31 @@
         seq
     }
 
-    /// Goes on where the plan has it wait for that.
+    /// Lets replies continue that wait for this call: see [`PlannedReply`].
     pub fn resume(&self) {
         self.resumed.send_modify(|times| *times += 1);
     }
 
-    /// Begins to count anew, as one that was restarted: watches end, and this is the list.
+    /// Simulates a restart of the service: versions start again, watches are closed, and the list is
+    /// replaced.
     pub fn restart(&self, hosts: Vec<Vec<Value>>) {
         let mut state = self.state.lock().expect("no holder panics");
         state.lists = Lists::new(hosts, self.config.retained_changes);
         let _ = self.changes.send(Change::CloseWatches);
     }
 
-    /// Breaks every watch.
+    /// Closes every watch.
     pub fn break_watches(&self) {
         let _ = self.changes.send(Change::CloseWatches);
     }
 
-    /// Cuts the link to dispatchers of other regions than discovery's, which is the first, or makes it whole.
+    /// Partitions the service, which is in region 0, from the dispatchers in other regions; `None` restores
+    /// the link.
     pub fn set_partition(&self, partition: Option<Partition>) {
         self.link.set(partition);
     }
 
-    /// What was counted.
+    /// Returns the service's metrics.
     pub fn metrics(&self) -> &DiscoveryMetrics {
         &self.metrics
     }
--- a/stand-ins/src/discovery/calls.rs
+++ b/stand-ins/src/discovery/calls.rs
@@ -1,5 +1,5 @@
-//! One dispatcher's connection to discovery: calls for the list, and the watch. It owns what is written on it, by
-//! the plan where there is one, and the silence of a cut link; it must never change the list.
+//! Serves one dispatcher's connection to discovery: calls for the list, watches, scripted replies and the
+//! silence of a partitioned link. Never changes the list.
 
 use super::metrics::{Counter, Gauge};
 use super::{Change, Discovery, PlannedReply};
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use tokio::sync::{broadcast, watch};
 
-/// Time between the empty lines of a watch.
+/// Interval between empty lines on a watch without changes.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between the bytes of an object that never ends.
+/// Interval between the bytes of an object that never ends.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Where discovery stands.
+/// The region of the discovery service.
 const DISCOVERY_REGION: usize = 0;
 
-/// A call's place among the dispatchers and its connection.
+/// One connection from a dispatcher.
 pub(super) struct Session {
     discovery: Discovery,
     view_index: usize,
@@ -31,13 +31,13 @@
         Session { discovery, view_index, view, connection }
     }
 
-    /// Serves the connection to its end.
+    /// Serves the connection until it ends.
     pub(super) async fn serve(mut self) {
         let metrics = self.discovery.metrics.clone();
         metrics.add(self.view.source, Counter::Accepted, 1);
         let _open = metrics.hold(self.view.source, Gauge::Connections);
         if self.partition() == Some(Partition::BothDirections) {
-            // It never came up, and is reset once it could.
+            // The connection was never established; it is reset once the link is restored.
             self.wait_restored().await;
             self.connection.reset();
         } else {
@@ -53,7 +53,8 @@
         self.discovery.link.wait_restored(self.view.region, DISCOVERY_REGION).await;
     }
 
-    /// Waits until something can pass; whether the connection still stands then.
+    /// Waits until the link can pass data in both directions. Returns whether the connection is still open
+    /// then.
     async fn wait_until_passable(&mut self) -> bool {
         if self.partition().is_none() {
             return true;
@@ -78,7 +79,8 @@
             let mut resumed = self.discovery.resumed.subscribe();
             let (changes, reply, (first_object, counter)) = {
                 let mut state = self.discovery.state.lock().expect("no holder panics");
-                // Together with the list, so that nothing falls between the two and nothing comes twice.
+                // Subscribes under the same lock that reads the list, so that no change is missed or sent
+                // twice.
                 let changes = self.discovery.changes.subscribe();
                 let reply = state.replies.pop_front();
                 let since = requested_version(&request.target).filter(|_| is_watch);
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Writes what changes, and empty lines, after the first object.
+    /// Writes changes and empty lines after the first object.
     async fn watch(
         &mut self,
         reply: Option<PlannedReply>,
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Writes a line of the watch, in chunks where the plan says so.
+    /// Writes a line of the watch, split into chunks of the configured size.
     async fn write_line(&mut self, text: &str, counter: Counter) -> io::Result<()> {
         let (metrics, source) = (self.discovery.metrics.clone(), self.view.source);
         let line = [text.as_bytes(), b"\n"].concat();
@@ -185,7 +187,7 @@
     }
 }
 
-/// The version that a call asks from.
+/// Returns the version from which a call asks for changes.
 fn requested_version(target: &str) -> Option<u64> {
     target.split(['?', '&']).find_map(|part| part.strip_prefix("index="))?.parse().ok()
 }
--- a/stand-ins/src/discovery/lists.rs
+++ b/stand-ins/src/discovery/lists.rs
@@ -1,37 +1,37 @@
-//! The list of runners as it stands at each version, from each view. It owns versions, and which changes are still
-//! known; it must never know who asks.
+//! The versioned runner list for each view, and the changes kept for calls that ask for the changes since a
+//! version.
 
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Entries, by view.
+/// Entries of runners, by view.
 pub type Entries = Vec<Vec<Value>>;
 
-/// The list from each view.
+/// The runner list of each view.
 pub struct Lists {
     seq: u64,
     hosts: Entries,
-    /// The latest changes with their versions, no more than `most`.
+    /// The latest changes with their versions, at most `max_retained`.
     retained: VecDeque<(u64, Entries)>,
     max_retained: usize,
-    /// Written out, by view, until the next change.
+    /// The whole list as JSON, by view, cached until the next change.
     whole_json: Vec<Option<Arc<str>>>,
 }
 
 impl Lists {
-    /// The first version. So many changes are held, for those who ask what has come since.
+    /// Creates version 1 of the lists. At most `max_retained` changes are kept.
     pub fn new(hosts: Entries, max_retained: usize) -> Lists {
         let whole_json = vec![None; hosts.len()];
         Lists { seq: 1, hosts, retained: VecDeque::new(), max_retained, whole_json }
     }
 
-    /// The version.
+    /// Returns the current version.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Takes a change.
+    /// Applies a change given as entries for each view.
     pub fn apply(&mut self, changed: &[Vec<Value>]) {
         self.seq += 1;
         for (hosts, changed) in self.hosts.iter_mut().zip(changed) {
@@ -44,14 +44,15 @@
         }
     }
 
-    /// The whole list from a view.
+    /// Returns the whole list of a view as JSON.
     pub fn whole_list(&mut self, view: usize) -> Arc<str> {
         let (seq, hosts) = (self.seq, &self.hosts[view]);
         let write = || json!({"seq": seq, "whole": true, "hosts": hosts}).to_string().into();
         self.whole_json[view].get_or_insert_with(write).clone()
     }
 
-    /// What has changed since a version, each runner as it is now; none if that is not known any more.
+    /// Returns the changes since a version, with the latest entry of each runner, or `None` if they are no
+    /// longer kept.
     pub fn changes_since(&self, view: usize, version: u64) -> Option<Value> {
         let reaches_back = self.retained.front().map(|(first, _)| *first <= version.saturating_add(1));
         let known = reaches_back.unwrap_or(version == self.seq && self.max_retained > 0);
@@ -66,7 +67,7 @@
     }
 }
 
-/// Later entries in place of earlier ones of the same runner, those that are to be kept.
+/// Replaces earlier entries by later ones of the same runner, and adds only those for which `keep` is true.
 fn merge(entries: &mut Vec<Value>, changed: &[Value], keep: impl Fn(&Value) -> bool) {
     for entry in changed {
         entries.retain(|old| old["host"] != entry["host"]);
@@ -76,7 +77,7 @@
     }
 }
 
-/// A change as it is told.
+/// Returns a change as the JSON object sent to watches.
 pub fn change_object(seq: u64, entries: &[Value]) -> Value {
     json!({"seq": seq, "whole": false, "hosts": entries})
 }
--- a/stand-ins/src/discovery/metrics.rs
+++ b/stand-ins/src/discovery/metrics.rs
@@ -1,9 +1,9 @@
-//! What is counted of discovery. It owns the names; it must never count.
+//! The names of discovery's metrics.
 
 use crate::metrics::{Metrics, metric_names};
 
 metric_names! {
-    /// What only grows. Bytes are those of HTTP messages, chunks and all; `in` is toward discovery.
+    /// Counters. Bytes are those of HTTP messages including chunk framing; `in` is toward discovery.
     Counter {
         Accepted = "connections_accepted",
         ListCalls = "calls.lists",
@@ -19,7 +19,7 @@
 }
 
 metric_names! {
-    /// What comes and goes. A call is under way until its list, or a watch's first object, is written.
+    /// Gauges. A call is in progress until its list, or the first object of a watch, is written.
     Gauge {
         Connections = "connections_open",
         Calls = "calls",
@@ -27,5 +27,5 @@
     }
 }
 
-/// The counts of discovery.
+/// The metrics of discovery.
 pub type DiscoveryMetrics = Metrics<Counter, Gauge>;
--- a/stand-ins/src/hall.rs
+++ b/stand-ins/src/hall.rs
@@ -1,7 +1,7 @@
-//! Halls of pick nodes: slots, a queue in order, speed, the memory of repeats that the nodes of a hall
-//! share, call-backs, and the faults that are injected. They own the truth: which key had its effect how
-//! often, and where. A node does what the platform's pages say of one, and knows nothing of dispatchers
-//! beyond the address that its calls go to.
+//! Halls (a site's groups of runners, called pick nodes): slots, a FIFO queue, speed, deduplication of keys
+//! across a hall, call-backs and injected faults. Records as ground truth which key was executed how often,
+//! and where. A node follows the platform's public protocol and knows nothing of a dispatcher but its
+//! call-back address.
 
 mod dedup;
 mod job;
@@ -20,31 +20,31 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// What truly happened.
+/// What was really executed, to check dispatchers' claims against.
 #[derive(Default)]
 pub struct GroundTruth {
     executions: Mutex<HashMap<Key, Vec<String>>>,
-    /// Attempts taken.
+    /// Attempts received.
     pub attempts: AtomicUsize,
-    /// Repeats that a hall's memory dropped.
+    /// Repeats that were dropped as duplicates of a key.
     pub repeats_dropped: AtomicUsize,
     /// Faults injected.
     pub faults: AtomicUsize,
 }
 
 impl GroundTruth {
-    /// Keys that had their effect more than once.
+    /// Returns the number of keys that were executed more than once.
     pub fn duplicated_keys(&self) -> usize {
         self.executions.lock().expect("no holder panics").values().filter(|halls| halls.len() > 1).count()
     }
 
-    /// The same, where the effects were in different halls.
+    /// Returns the number of keys that were executed in more than one hall.
     pub fn keys_duplicated_across_halls(&self) -> usize {
         let across = |halls: &&Vec<String>| halls.iter().any(|hall| *hall != halls[0]);
         self.executions.lock().expect("no holder panics").values().filter(across).count()
     }
 
-    /// Keys that had their effect.
+    /// Returns the number of keys that were executed.
     pub fn executed_keys(&self) -> usize {
         self.executions.lock().expect("no holder panics").len()
     }
@@ -52,14 +52,14 @@
 
 /// All halls of an installation.
 pub struct Halls {
-    /// What truly happened.
+    /// What was really executed.
     pub ground_truth: Arc<GroundTruth>,
-    /// The entries of discovery's list, for each dispatcher.
+    /// The entries of the runner list, for each dispatcher.
     pub hosts: Vec<Vec<Value>>,
 }
 
 impl Halls {
-    /// Starts the nodes of all halls, each with an address for each dispatcher.
+    /// Starts the nodes of all halls. Each node listens on a separate address for each dispatcher.
     ///
     /// # Errors
     ///
--- a/stand-ins/src/hall/dedup.rs
+++ b/stand-ins/src/hall/dedup.rs
@@ -1,24 +1,24 @@
-//! The memory of keys that the nodes of a hall share, or those of all halls. It owns which key is whose and what
-//! became of it; it must never run anything.
+//! Deduplication of keys, shared by the nodes of a hall or of all halls: which job claimed a key, and its
+//! outcome.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Whose key of which class.
+/// The tenant, the class and the idempotency key.
 pub type Key = (String, String, String);
 
-/// What became of a key in the memory of a hall.
+/// The state of the job that claimed a key.
 #[derive(Clone, Debug)]
 pub(super) enum JobState {
     Running,
     Done(String),
-    /// Its job was withdrawn unstarted: it never ran.
+    /// The job was cancelled before it started and was never executed.
     Cancelled,
 }
 
-/// The memory that nodes share: those of a hall, or all of them.
+/// The claimed keys, shared by the nodes of a hall or of all halls.
 #[derive(Default)]
 pub(super) struct RepeatFilter(Mutex<HashMap<Key, (Instant, watch::Receiver<JobState>)>>);
 
@@ -28,7 +28,8 @@
 }
 
 impl RepeatFilter {
-    /// The first within the window has the key; the rest are repeats, which are dropped.
+    /// Claims a key. The first claim within the window gets it; later ones are repeats, whose jobs are not
+    /// executed.
     pub(super) fn claim(&self, key: &Key, window: Duration) -> Claim {
         let mut claims = self.0.lock().expect("no holder panics");
         if let Some((claimed_at, state)) = claims.get(key)
--- a/stand-ins/src/hall/job.rs
+++ b/stand-ins/src/hall/job.rs
@@ -1,5 +1,5 @@
-//! One job at a pick node: its key, its slots, its time, and the telling of what became of it. It owns the truth of
-//! its effect; it must never answer the request that brought it.
+//! Runs one job at a pick node: claims its key, waits for slots, runs for its time, and reports the outcome
+//! by call-back. The request itself is answered in `node`.
 
 use super::dedup::{Claim, JobState};
 use super::node::{Fault, Node};
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Runs a job, or drops it for a repeat; what is to be told, if anybody still wants to hear it.
+    /// Runs a job, or waits for the first job of its key if it is a repeat. Returns the state and the
+    /// result to report, or `None` if the job was cancelled before it started.
     async fn run(
         &self,
         dispatcher: usize,
@@ -87,7 +88,7 @@
         let work_ms = serde_json::from_str::<Value>(&request.body).ok().and_then(|b| b["work_ms"].as_f64());
         let slowdown = if fault == Fault::Slow { self.faults.slow_by } else { 1.0 };
         let running_time = Duration::from_secs_f64(work_ms.unwrap_or(1.0) / 1e3 / self.speed * slowdown);
-        // Work that runs goes on to its end, whoever gives it up.
+        // Cancelling a running job does not stop it.
         tokio::time::sleep(running_time).await;
         drop(permit);
         let result = format!("{} by {}", key.as_ref().map_or(id, |key| &key.2), self.name);
@@ -101,12 +102,13 @@
         Some((if fault == Fault::Error { "failed" } else { "done" }, result))
     }
 
-    /// Tells the dispatcher, again until it answers, ten times at most.
+    /// Sends a call-back to the dispatcher, and repeats it until it is answered, at most ten times.
     async fn call_back(&self, dispatcher: usize, id: &str, state: &str, result: &str) {
         let address = self.dispatchers[dispatcher];
         let free_slots = self.free_slots.available_permits();
         let body = json!({"id": id, "from": self.name, "state": state, "result": result,
-            "load": {"inflight": self.inflight(), "latency_ms": 20.0 / self.speed, "x0": free_slots, "eps": 0}});
+            "load": {"inflight": self.inflight(), "latency_ms": 20.0 / self.speed,
+                     "x0": free_slots, "eps": 0}});
         let (head, body) = ("POST /v1/job-events HTTP/1.1\r\nHost: t", body.to_string());
         for _ in 0..10 {
             let idle =
--- a/stand-ins/src/hall/node.rs
+++ b/stand-ins/src/hall/node.rs
@@ -1,5 +1,5 @@
-//! One pick node: its connections from dispatchers, what is answered to each request, and the faults that are
-//! drawn for it. It owns those answers; it must never run a job itself.
+//! One pick node: its connections from dispatchers, its answers, and the faults drawn for each attempt.
+//! Jobs run in `job`.
 
 use super::GroundTruth;
 use super::dedup::RepeatFilter;
@@ -26,22 +26,22 @@
     pub(super) installation_filter: Arc<RepeatFilter>,
     pub(super) ground_truth: Arc<GroundTruth>,
     pub(super) jobs: Mutex<HashMap<String, Arc<Notify>>>,
-    /// Where call-backs go, and connections to there.
+    /// The call-back address of each dispatcher, and the idle connections to them.
     pub(super) dispatchers: Vec<SocketAddr>,
     pub(super) idle_connections: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
-/// What is done to an attempt.
+/// The fault injected into an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Fault {
     None,
-    /// The job runs, but the connection ends before the 202.
+    /// The job runs, but the connection is closed before the 202.
     Reset,
-    /// The job runs, but nobody is told.
+    /// The job runs, but no call-back is sent.
     Silent,
-    /// The job runs and fails.
+    /// The job runs and is reported as failed.
     Error,
-    /// Turned away unseen.
+    /// The attempt is refused with 503 and marked as not processed.
     NotProcessed,
     /// The job takes longer.
     Slow,
@@ -80,7 +80,8 @@
                         connection.write(head, b"").await?;
                         continue;
                     }
-                    // Before its first await, so that a repeat behind it finds the key taken.
+                    // The job claims its key before its first await, so that a later repeat finds the key
+                    // claimed.
                     tokio::spawn(self.clone().job(dispatcher, request, fault));
                     if fault == Fault::Reset {
                         return Ok(());
--- a/stand-ins/src/hollow.rs
+++ b/stand-ins/src/hollow.rs
@@ -1,10 +1,11 @@
-//! Hollow runners: many of the platform's runners in one process. Each has its own slots, queue, speed, addresses
-//! and connections, and keeps the platform's protocol; what a request does is to hold its slot for the time that
-//! its body states. They own the truth of what began when; they must never leave the loopback addresses, nor know
-//! anything of dispatchers but where calls go.
+//! Hollow runners: many simulated runners in one process. Each has its own slots, queue, speed, addresses
+//! and connections, and follows the platform's protocol; a request only occupies its slot for the time that
+//! its body states. They report when each request started. They use loopback addresses only, and know
+//! nothing of a dispatcher but its call-back address.
 //!
-//! What a real runner does and these don't: results hold nothing, nothing fails, repeats of a key are not dropped,
-//! a cold one that is flooded stays up, and while a link is cut no try of a call-back is used up.
+//! Differences from a real runner: results have no content, no request fails, repeats of a key are not
+//! dropped, a cold runner survives overload, and call-backs do not use up their tries while a link is
+//! partitioned.
 
 mod callbacks;
 mod connections;
@@ -26,44 +27,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between looks at connections that rest.
+/// Interval between checks for idle call-back connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A dispatcher, whose number is the first four hexadecimal digits of its requests' ids.
+/// A dispatcher. Its number is the first four hexadecimal digits of the ids of its requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatcher {
-    /// Where call-backs go.
+    /// The address for call-backs.
     pub callback_address: SocketAddr,
-    /// Its place among the views.
+    /// The index of its view.
     pub view: usize,
 }
 
-/// A runner to be.
+/// The parameters of a runner.
 #[derive(Clone, Debug)]
 pub struct RunnerSpec {
-    /// Its name in discovery's list.
+    /// The name in the runner list.
     pub name: String,
-    /// The region that it stands in.
+    /// The region that it is in.
     pub region: usize,
-    /// Requests that run at once.
+    /// The number of requests that can run at once.
     pub slots: u32,
 }
 
-/// Told of each request that begins to run: its id, and the runner's number.
+/// Called with the id of each request that starts to run and the runner's number.
 pub type OnStart = Box<dyn Fn(&str, usize) + Send + Sync>;
 
-/// All runners.
+/// All hollow runners of a process.
 pub struct Runners {
     runners: Vec<Arc<Runner>>,
     shared: Arc<Shared>,
 }
 
 impl Runners {
-    /// Starts them, warm and empty.
+    /// Starts all runners, with empty queues and at full speed.
     ///
     /// # Errors
     ///
-    /// If an address can't be had.
+    /// If no address can be bound.
     pub async fn start(
         specs: &[RunnerSpec],
         views: &[View],
@@ -94,16 +95,16 @@
         Ok(Runners { runners, shared })
     }
 
-    /// Where they listen, by runner and view.
+    /// Returns the listening addresses, by runner and view.
     pub fn addresses(&self) -> Vec<Vec<SocketAddr>> {
         self.runners.iter().map(|runner| runner.addresses().to_vec()).collect()
     }
 
-    /// Their machines vanish: connections are reset, new ones refused, work is lost.
+    /// Crashes the runners' machines: connections are reset, new ones are refused, and work is lost.
     ///
     /// # Errors
     ///
-    /// If there is no such runner, or if its address was lost to another process.
+    /// If there is no such runner, or if its address was taken by another process.
     pub async fn crash(&self, runners: &[usize]) -> io::Result<()> {
         for runner in self.select(runners)? {
             runner.crash().await?;
@@ -111,7 +112,7 @@
         Ok(())
     }
 
-    /// They are back at their addresses, empty and cold.
+    /// Restarts crashed runners at their addresses, with empty queues and a cold start.
     ///
     /// # Errors
     ///
@@ -120,12 +121,12 @@
         self.select(runners)?.into_iter().try_for_each(|runner| runner.restart())
     }
 
-    /// Cuts the link between regions, or makes it whole.
+    /// Partitions the link between regions; `None` restores it.
     pub fn set_partition(&self, partition: Option<Partition>) {
         self.shared.link.set(partition);
     }
 
-    /// What was counted.
+    /// Returns the runners' metrics.
     pub fn metrics(&self) -> &RunnerMetrics {
         &self.shared.metrics
     }
--- a/stand-ins/src/hollow/callbacks.rs
+++ b/stand-ins/src/hollow/callbacks.rs
@@ -1,5 +1,5 @@
-//! Call-backs of a hollow runner, and the connections that it keeps for them. It owns the tries of each until it
-//! is answered; it must never tell of a request on its own account, nor let a try pass a link that is cut.
+//! Sends the call-backs of a hollow runner, with retries and a pool of idle connections. No try counts
+//! while the link is partitioned.
 
 use super::metrics::{Counter, Gauge};
 use super::runner::Runner;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most tries of a call-back.
+/// The maximum number of tries of a call-back.
 const MAX_TRIES: usize = 10;
 
-/// A connection that rests.
+/// A pooled connection.
 pub struct IdleConnection {
     pub dispatcher: usize,
     pub connection: Connection,
@@ -20,13 +20,14 @@
 }
 
 impl Runner {
-    /// Tells a dispatcher of a request, again until it answers, ten times at the most. While the link is cut it
-    /// waits, and begins again when it is whole.
+    /// Reports the state of a request to its dispatcher, and repeats the call-back until it is answered, at
+    /// most `MAX_TRIES` times. During a partition it waits until the link is restored, and sends the
+    /// call-back again.
     pub async fn call_back(&self, dispatcher: usize, id: &str, state: &str) {
         let (shared, source) = (&self.shared, self.shared.source(dispatcher));
         let region = shared.view(dispatcher).region;
         let mut body = json!({"id": id, "from": self.name, "state": state});
-        // The object that ends an attempt may carry a report.
+        // The call-back that ends an attempt may carry a load report.
         let mut report_bytes = 0;
         if state == "done" {
             body["result"] = json!(format!("by {}", self.name));
@@ -45,7 +46,7 @@
             let exchange = self.exchange(dispatcher, body.as_bytes());
             let answer = tokio::time::timeout(shared.profile.callback_timeout, exchange).await;
             if shared.link.partition(region, self.region).is_some() {
-                // Whatever came back can't have passed.
+                // An answer received during a partition cannot have passed the link.
                 continue;
             }
             if matches!(answer, Ok(Ok(200 | 204))) {
@@ -54,7 +55,7 @@
             tries += 1;
             tokio::time::sleep(shared.profile.callback_retry_pause).await;
         }
-        shared.metrics.add(source, Counter::CallBacksUnheard, 1);
+        shared.metrics.add(source, Counter::CallBacksUndelivered, 1);
     }
 
     async fn exchange(&self, dispatcher: usize, body: &[u8]) -> io::Result<u16> {
@@ -76,21 +77,19 @@
         let answer = connection.read().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
         shared.metrics.add(source, Counter::BytesInCallBacks, answer.wire_bytes);
         if !answer.header("connection").eq_ignore_ascii_case("close") {
-            shared.metrics.increment(source, Gauge::Resting);
+            shared.metrics.increment(source, Gauge::IdleCallBackConnections);
             let mut idle_connections = self.idle_connections.lock().expect("no holder panics");
             idle_connections.push(IdleConnection { dispatcher, connection, idle_since: Instant::now() });
         }
         Ok(answer.status)
     }
 
-    /// A connection to a dispatcher that rests and still stands: the one that was used last.
+    /// Takes the most recently used idle connection to a dispatcher that is still open.
     fn take_idle(&self, dispatcher: usize) -> Option<Connection> {
         let mut idle_connections = self.idle_connections.lock().expect("no holder panics");
-        while let Some(index) =
-            idle_connections.iter().rposition(|idle_connections| idle_connections.dispatcher == dispatcher)
-        {
+        while let Some(index) = idle_connections.iter().rposition(|idle| idle.dispatcher == dispatcher) {
             let mut idle = idle_connections.remove(index);
-            self.shared.metrics.decrement(self.shared.source(dispatcher), Gauge::Resting);
+            self.shared.metrics.decrement(self.shared.source(dispatcher), Gauge::IdleCallBackConnections);
             if !idle.connection.is_closed() {
                 return Some(idle.connection);
             }
@@ -98,19 +97,18 @@
         None
     }
 
-    /// Closes connections that have rested for so long, or that their dispatcher has ended. Over a link that is
-    /// cut nobody would learn of it.
+    /// Closes connections that have been idle for the timeout or that the dispatcher has closed.
+    /// Connections over a partitioned link are kept, since neither side would learn of the close.
     pub fn close_idle(&self, idle_timeout: Duration) {
         let shared = &self.shared;
         let mut idle_connections = self.idle_connections.lock().expect("no holder panics");
-        idle_connections.retain_mut(|idle_connections| {
-            let region = shared.view(idle_connections.dispatcher).region;
-            let partition = shared.link.partition(region, self.region).is_some();
-            let keep = partition
-                || idle_connections.idle_since.elapsed() < idle_timeout
-                    && !idle_connections.connection.is_closed();
+        idle_connections.retain_mut(|idle| {
+            let region = shared.view(idle.dispatcher).region;
+            let partitioned = shared.link.partition(region, self.region).is_some();
+            let keep =
+                partitioned || idle.idle_since.elapsed() < idle_timeout && !idle.connection.is_closed();
             if !keep {
-                shared.metrics.decrement(shared.source(idle_connections.dispatcher), Gauge::Resting);
+                shared.metrics.decrement(shared.source(idle.dispatcher), Gauge::IdleCallBackConnections);
             }
             keep
         });
--- a/stand-ins/src/hollow/connections.rs
+++ b/stand-ins/src/hollow/connections.rs
@@ -1,5 +1,5 @@
-//! Connections from dispatchers to a hollow runner: requests, give-ups, probes, and what is answered to them. It
-//! owns the reading and the answers, and the silence of a cut link; it must never decide when a request runs.
+//! Serves connections from dispatchers to a hollow runner: requests, cancellations, probes, their answers,
+//! and the silence of a partitioned link. When a request runs is decided in `slots`.
 
 use super::metrics::{Counter, Gauge};
 use super::runner::{Lifetime, Runner};
@@ -10,18 +10,19 @@
 use std::sync::Arc;
 use tokio::net::TcpStream;
 
-/// What a request's body says.
+/// The body of a request.
 #[derive(Deserialize)]
 struct RequestBody {
     work_us: u64,
 }
 
-/// An answer to be.
+/// An answer to write.
 struct Response {
     bytes: Vec<u8>,
-    /// What its bytes count as.
+    /// The counter of its bytes.
     counter: Counter,
-    /// The request that it takes, by its number here: it is given up if the connection ends before.
+    /// The number of the accepted job, which is cancelled if the connection ends before the answer is
+    /// written.
     job: Option<u64>,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// Serves a connection to its end or the runner's.
+/// Serves a connection until it ends or the runner crashes.
 pub async fn serve(runner: Arc<Runner>, view: usize, stream: TcpStream, mut lifetime: Lifetime) {
     let source = runner.shared.views[view].source;
     let metrics = &runner.shared.metrics;
@@ -50,7 +51,7 @@
     }
 }
 
-/// Whether it is to end by a reset.
+/// Serves the requests of a connection. Returns whether the connection is to be reset.
 async fn serve_requests(runner: &Arc<Runner>, view: usize, connection: &mut Connection) -> io::Result<bool> {
     let shared = &runner.shared;
     let (region, source) = (shared.views[view].region, shared.views[view].source);
@@ -58,7 +59,7 @@
     let partition = || link.partition(region, runner.region);
     let wait_restored = || link.wait_restored(region, runner.region);
     if partition() == Some(Partition::BothDirections) {
-        // It never came up; once the machine is back it is reset.
+        // The connection was never established; it is reset once the link is restored.
         wait_restored().await;
         return Ok(true);
     }
@@ -71,32 +72,32 @@
         let Some(message) = read? else { return Ok(false) };
         if partition() == Some(Partition::BothDirections) {
             wait_restored().await;
-            // What was given up meanwhile has not begun.
+            // A request that was abandoned during the partition has not started.
             if connection.is_closed() {
                 return Ok(false);
             }
         }
-        let answer = answer(runner, view, &message);
+        let response = respond(runner, view, &message);
         if partition().is_some() {
             tokio::select! {
                 () = wait_restored() => {}
                 () = connection.closed() => {
-                    if let Some(job) = answer.job {
+                    if let Some(job) = response.job {
                         runner.cancel(source, message.header("x-request-id"), Some(job));
                     }
                     return Ok(false);
                 }
             }
         }
-        metrics.add(source, answer.counter, answer.bytes.len());
-        connection.write_raw(&answer.bytes).await?;
+        metrics.add(source, response.counter, response.bytes.len());
+        connection.write_raw(&response.bytes).await?;
         if message.header("connection").eq_ignore_ascii_case("close") {
             return Ok(false);
         }
     }
 }
 
-fn answer(runner: &Arc<Runner>, view: usize, message: &Message) -> Response {
+fn respond(runner: &Arc<Runner>, view: usize, message: &Message) -> Response {
     let (shared, source) = (&runner.shared, runner.shared.views[view].source);
     let metrics = &shared.metrics;
     let path = message.target.split('?').next().unwrap_or("");
@@ -108,10 +109,10 @@
     };
     match (message.method.as_str(), path) {
         ("DELETE", path) if path.starts_with("/jobs/") => {
-            metrics.add(source, Counter::GiveUps, 1);
-            metrics.add(source, Counter::BytesInGiveUps, message.wire_bytes);
+            metrics.add(source, Counter::Cancels, 1);
+            metrics.add(source, Counter::BytesInCancels, message.wire_bytes);
             runner.cancel(source, &path["/jobs/".len()..], None);
-            Response::new(Counter::BytesOutGiveUps, "200 OK", "")
+            Response::new(Counter::BytesOutCancels, "200 OK", "")
         }
         ("GET", "/alive") => probe(""),
         ("GET", "/metrics/load") => match probing && profile.reports.1 {
@@ -130,7 +131,7 @@
     }
 }
 
-/// Takes a request, if it is one: of a form that a client has sent, and from the dispatcher that its id names.
+/// Accepts a request if it is well formed and comes from the dispatcher that its id names.
 fn accept_request(runner: &Arc<Runner>, view: usize, message: &Message) -> Response {
     let (shared, source) = (&runner.shared, runner.shared.views[view].source);
     let metrics = &shared.metrics;
@@ -142,15 +143,15 @@
         return Response::new(Counter::BytesOutRequests, "404 Not Found", "");
     }
     let from_own_dispatcher =
-        shared.dispatcher(id).is_some_and(|number| shared.dispatchers[number].view == view);
+        shared.dispatcher_of(id).is_some_and(|number| shared.dispatchers[number].view == view);
     let work = serde_json::from_str::<RequestBody>(&message.body);
     let Some(work) = work.ok().filter(|_| from_own_dispatcher) else {
         metrics.add(source, Counter::Answers400, 1);
         return Response::new(Counter::BytesOutRequests, "400 Bad Request", "");
     };
     if runner.has_wanted(id) {
-        // Perhaps sent again by a library: it runs, as on the platform, and is seen.
-        metrics.add(source, Counter::Copies, 1);
+        // An HTTP library may have resent the request. As on the platform it runs again, and it is counted.
+        metrics.add(source, Counter::Duplicates, 1);
     }
     let job = runner.accept_request(source, id, work.work_us);
     metrics.add(source, Counter::Answers202, 1);
--- a/stand-ins/src/hollow/metrics.rs
+++ b/stand-ins/src/hollow/metrics.rs
@@ -1,32 +1,32 @@
-//! What is counted of hollow runners. It owns the names; it must never count.
+//! The names of the hollow runners' metrics.
 
 use crate::metrics::{Metrics, metric_names};
 
 metric_names! {
-    /// What only grows. Bytes are those of HTTP messages; `in` is toward the runners.
+    /// Counters. Bytes are those of HTTP messages; `in` is toward the runners.
     Counter {
         Requests = "requests",
         Answers202 = "answers_202",
         Answers400 = "answers_400",
         Answers404 = "answers_404",
-        Copies = "copies",
-        GiveUps = "give_ups",
-        GivenUpWaiting = "given_up_waiting",
-        GivenUpRunning = "given_up_running",
+        Duplicates = "copies",
+        Cancels = "give_ups",
+        CancelledQueued = "given_up_waiting",
+        CancelledRunning = "given_up_running",
         Started = "started",
         Ended = "ended",
         Lost = "lost",
         Probes = "probes",
         CallBacks = "callbacks",
         CallBackTries = "callback_tries",
-        CallBacksUnheard = "callbacks_unheard",
+        CallBacksUndelivered = "callbacks_unheard",
         Accepted = "connections_accepted",
         Opened = "connections_opened",
         IdleClosed = "connections_idle_closed",
         BytesInRequests = "bytes_in.requests",
         BytesOutRequests = "bytes_out.requests",
-        BytesInGiveUps = "bytes_in.give_ups",
-        BytesOutGiveUps = "bytes_out.give_ups",
+        BytesInCancels = "bytes_in.give_ups",
+        BytesOutCancels = "bytes_out.give_ups",
         BytesInProbes = "bytes_in.probes",
         BytesOutProbes = "bytes_out.probes",
         BytesInCallBacks = "bytes_in.callbacks",
@@ -36,14 +36,14 @@
 }
 
 metric_names! {
-    /// What comes and goes.
+    /// Gauges.
     Gauge {
         Running = "running",
         Queued = "queued",
         Connections = "connections_open",
-        Resting = "callback_connections_resting",
+        IdleCallBackConnections = "callback_connections_resting",
     }
 }
 
-/// The counts of runners.
+/// The metrics of hollow runners.
 pub type RunnerMetrics = Metrics<Counter, Gauge>;
--- a/stand-ins/src/hollow/profile.rs
+++ b/stand-ins/src/hollow/profile.rs
@@ -1,37 +1,36 @@
-//! How runners behave: what the platform's settings say of them, and what only runners know. It owns the reading
-//! of that from the settings; it must never change while runners run.
+//! The behaviour of runners: what the platform's settings state about them, and defaults for the rest.
 
 use super::slots::{Load, SlowStart};
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// How runners behave.
+/// The behaviour of runners.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// How a cold one gets warm.
+    /// The speed after a cold start.
     pub slow_start: SlowStart,
-    /// Idle connections from dispatchers are closed after this.
+    /// Idle connections from dispatchers are closed after this time.
     pub idle_timeout: Duration,
-    /// A connection for a call-back must be up by then.
+    /// The timeout for opening a call-back connection.
     pub connect_timeout: Duration,
-    /// A call-back must be answered by then.
+    /// The timeout for one try of a call-back.
     pub callback_timeout: Duration,
-    /// Between two tries of a call-back.
+    /// The pause between two tries of a call-back.
     pub callback_retry_pause: Duration,
-    /// A connection for call-backs is closed when it has rested for so long.
+    /// Idle call-back connections are closed after this time.
     pub callback_idle_timeout: Duration,
     /// Whether probes are answered.
     pub answers_probes: bool,
-    /// Whether the start of a request is told.
+    /// Whether the start of a request is reported by call-back.
     pub reports_start: bool,
-    /// The figures of a load report.
+    /// The fields of a load report.
     pub report_fields: Vec<String>,
-    /// Whether reports come with answers, and whether with probes.
+    /// Whether load reports are sent with call-backs, and whether with answers to probes.
     pub reports: (bool, bool),
 }
 
 impl Profile {
-    /// What the settings of a dispatcher say of runners; what they don't say is the usual.
+    /// Reads the behaviour from a dispatcher's settings, with defaults for what they lack.
     pub fn from_settings(settings: &Value) -> Profile {
         let (limits, rules, reporting) = (&settings["limits"], &settings["rules"], &settings["reporting"]);
         let duration = |value: &Value, default: u64| Duration::from_nanos(value.as_u64().unwrap_or(default));
@@ -54,7 +53,8 @@
         }
     }
 
-    /// The report that states this load, by the names of the settings; what a runner does not know is left out.
+    /// Returns the load report for a load, with the fields named in the settings; fields that runners do
+    /// not know are left out.
     pub fn report(&self, load: &Load) -> Value {
         let value = |name: &str| match name {
             "outstanding" => Some(json!(load.running + load.queued)),
@@ -62,7 +62,7 @@
             "utilization" => Some(json!(f64::from(load.running) / f64::from(load.slots.max(1)))),
             "recent_ms" => Some(json!((load.mean_running_us / 10.0).round() / 100.0)),
             "errors_per_s" => Some(json!(0)),
-            // As the settings of all our sites say: free slots.
+            // Free slots: the meaning of `x0` in the settings of all our sites.
             "x0" => Some(json!(load.slots - load.running)),
             _ => None,
         };
--- a/stand-ins/src/hollow/runner.rs
+++ b/stand-ins/src/hollow/runner.rs
@@ -1,6 +1,5 @@
-//! One hollow runner: its addresses, its life from one start to the next loss, and the requests that run. It owns
-//! the timers of what runs and the order in which a machine vanishes; it must never decide what runs when, nor
-//! read or write a connection.
+//! One hollow runner: its addresses, its lifetime from a start to the next crash, and the timers of running
+//! requests. Which request runs when is decided in `slots`.
 
 use super::callbacks::IdleConnection;
 use super::metrics::{Counter, Gauge};
@@ -16,30 +15,31 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Connections that may wait to be accepted.
+/// The maximum length of a listener's accept queue.
 const BACKLOG: u32 = 1024;
-/// Wait before a listener that ran out of descriptors tries again.
+/// Pause before accepting again after an error, such as running out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What everything that a runner does until it is lost holds: it sees the end, and the end waits for it.
+/// Held by every task of a runner until it crashes: the tasks are notified of the crash, and the crash
+/// waits until all are dropped.
 pub type Lifetime = watch::Receiver<()>;
 
 enum State {
     Up {
         lifetime: watch::Sender<()>,
-        accepting: Vec<JoinHandle<()>>,
+        accept_tasks: Vec<JoinHandle<()>>,
     },
-    /// Its addresses, held by sockets that don't listen.
+    /// The addresses, kept bound by sockets that don't listen.
     Down(Vec<TcpSocket>),
 }
 
-/// A runner.
+/// A hollow runner.
 pub struct Runner {
     pub number: usize,
     pub name: String,
     pub region: usize,
     pub shared: Arc<Shared>,
-    /// Connections for call-backs that rest.
+    /// Idle connections for call-backs.
     pub idle_connections: Mutex<Vec<IdleConnection>>,
     addresses: Vec<SocketAddr>,
     slots: Mutex<Slots>,
@@ -58,7 +58,7 @@
 }
 
 impl Runner {
-    /// Starts one, warm.
+    /// Starts a runner at full speed.
     pub async fn start(number: usize, spec: &RunnerSpec, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let sockets = shared.views.iter().map(|_| bind_socket(any)).collect::<io::Result<Vec<_>>>()?;
@@ -81,17 +81,17 @@
         &self.addresses
     }
 
-    /// Listens at its addresses; changes nothing if it does so already.
+    /// Listens at its addresses; does nothing if it already does.
     fn listen(self: &Arc<Self>) -> io::Result<()> {
         let mut state = lock(&self.state);
         let State::Down(sockets) = &mut *state else { return Ok(()) };
         let listeners = sockets.drain(..).map(|socket| socket.listen(BACKLOG));
         let listeners = listeners.collect::<io::Result<Vec<_>>>()?;
         let lifetime = watch::channel(()).0;
-        let accepting = listeners.into_iter().enumerate();
-        let accepting = accepting
+        let accept_tasks = listeners.into_iter().enumerate();
+        let accept_tasks = accept_tasks
             .map(|(view, at)| tokio::spawn(self.clone().accept_connections(view, at, lifetime.subscribe())));
-        *state = State::Up { accepting: accepting.collect(), lifetime };
+        *state = State::Up { accept_tasks: accept_tasks.collect(), lifetime };
         Ok(())
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// It starts again, cold and empty.
+    /// Restarts a crashed runner with an empty queue and a cold start.
     pub fn restart(self: &Arc<Self>) -> io::Result<()> {
         if matches!(*lock(&self.state), State::Down(_)) {
             lock(&self.slots).start_cold(self.shared.now_us());
@@ -114,31 +114,32 @@
         self.listen()
     }
 
-    /// Its machine vanishes. Returns once nothing of it is left.
+    /// Crashes the machine. Returns once all connections and jobs are gone.
     pub async fn crash(&self) -> io::Result<()> {
-        let before = {
+        let previous = {
             let mut state = lock(&self.state);
             if matches!(*state, State::Down(_)) {
                 return Ok(());
             }
             std::mem::replace(&mut *state, State::Down(Vec::new()))
         };
-        let State::Up { lifetime, accepting } = before else { return Ok(()) };
-        for task in accepting {
+        let State::Up { lifetime, accept_tasks } = previous else { return Ok(()) };
+        for task in accept_tasks {
             task.abort();
             let _ = task.await;
         }
-        // At once, so that nobody who connects anywhere is given one of these ports as its own.
+        // Binds the ports again at once, so that no outgoing connection is given one of them as its local
+        // port.
         let sockets = self.addresses.iter().map(|at| bind_socket(*at)).collect::<io::Result<Vec<_>>>()?;
         lifetime.send_replace(());
         lifetime.closed().await;
         let shared = &self.shared;
-        for idle_connections in lock(&self.idle_connections).drain(..) {
-            shared.metrics.decrement(shared.source(idle_connections.dispatcher), Gauge::Resting);
-            idle_connections.connection.reset();
+        for idle in lock(&self.idle_connections).drain(..) {
+            shared.metrics.decrement(shared.source(idle.dispatcher), Gauge::IdleCallBackConnections);
+            idle.connection.reset();
         }
         for (id, was_running) in lock(&self.slots).drop_all() {
-            if let Some(dispatcher) = shared.dispatcher(&id) {
+            if let Some(dispatcher) = shared.dispatcher_of(&id) {
                 let source = shared.source(dispatcher);
                 shared.metrics.add(source, Counter::Lost, 1);
                 shared.metrics.decrement(source, if was_running { Gauge::Running } else { Gauge::Queued });
@@ -148,7 +149,7 @@
         Ok(())
     }
 
-    /// Takes a request of a dispatcher on this side: the number that it has here.
+    /// Accepts a request from a dispatcher and returns its job number.
     pub fn accept_request(self: &Arc<Self>, source: TrafficSource, id: &str, work_us: u64) -> u64 {
         self.shared.metrics.increment(source, Gauge::Queued);
         let (job, started) = lock(&self.slots).accept(self.shared.now_us(), id, work_us);
@@ -156,7 +157,7 @@
         job
     }
 
-    /// A request is given up, by its id or, before it was answered, by its number here.
+    /// Cancels a request by its id or, before it was answered, by its job number.
     pub fn cancel(&self, source: TrafficSource, id: &str, job: Option<u64>) {
         let outcome = match job {
             Some(job) => lock(&self.slots).cancel(job),
@@ -165,14 +166,14 @@
         match outcome {
             CancelOutcome::Queued => {
                 self.shared.metrics.decrement(source, Gauge::Queued);
-                self.shared.metrics.add(source, Counter::GivenUpWaiting, 1);
+                self.shared.metrics.add(source, Counter::CancelledQueued, 1);
             }
-            CancelOutcome::Running => self.shared.metrics.add(source, Counter::GivenUpRunning, 1),
+            CancelOutcome::Running => self.shared.metrics.add(source, Counter::CancelledRunning, 1),
             CancelOutcome::Unknown => {}
         }
     }
 
-    /// Whether a request of this id is here and wanted.
+    /// Whether the newest request of this id is queued or running and not cancelled.
     pub fn has_wanted(&self, id: &str) -> bool {
         lock(&self.slots).is_wanted(id)
     }
@@ -181,13 +182,13 @@
         lock(&self.slots).load()
     }
 
-    fn start_job(self: &Arc<Self>, start: Option<StartedJob>) {
-        let Some(job) = start else { return };
-        let Some(dispatcher) = self.shared.dispatcher(&job.id) else { return };
+    fn start_job(self: &Arc<Self>, started: Option<StartedJob>) {
+        let Some(job) = started else { return };
+        let Some(dispatcher) = self.shared.dispatcher_of(&job.id) else { return };
         let (source, metrics) = (self.shared.source(dispatcher), &self.shared.metrics);
         metrics.decrement(source, Gauge::Queued);
         metrics.increment(source, Gauge::Running);
-        // One that just vanished begins nothing: it is lost with the rest.
+        // A runner that has just crashed starts nothing; the request is lost with the others.
         let State::Up { lifetime, .. } = &*lock(&self.state) else { return };
         metrics.add(source, Counter::Started, 1);
         (self.shared.on_start)(&job.id, self.number);
@@ -204,10 +205,10 @@
 
     async fn run_job(self: &Arc<Self>, dispatcher: usize, job: StartedJob) {
         let (source, metrics) = (self.shared.source(dispatcher), &self.shared.metrics);
-        // Its slot is free at its end, however long its dispatcher is deaf.
+        // The slot becomes free when the work ends, even if the dispatcher does not answer call-backs.
         let work = async {
             tokio::time::sleep_until(self.shared.epoch + Duration::from_micros(job.ends_us)).await;
-            let ended = lock(&self.slots).finish(self.shared.now_us(), job.job);
+            let ended = lock(&self.slots).finish(self.shared.now_us(), job.number);
             metrics.decrement(source, Gauge::Running);
             metrics.add(source, Counter::Ended, 1);
             ended.is_some_and(|ended| {
--- a/stand-ins/src/hollow/shared.rs
+++ b/stand-ins/src/hollow/shared.rs
@@ -1,5 +1,4 @@
-//! What all hollow runners of a process have in common. It owns the meaning of a request's id; it must never hold
-//! anything that is one runner's.
+//! State shared by all hollow runners of a process, and the mapping from request ids to dispatchers.
 
 use super::metrics::RunnerMetrics;
 use super::profile::Profile;
@@ -8,7 +7,7 @@
 use crate::region_link::RegionLink;
 use tokio::time::Instant;
 
-/// What all runners have in common.
+/// State shared by all runners.
 pub struct Shared {
     pub profile: Profile,
     pub views: Vec<View>,
@@ -16,24 +15,24 @@
     pub link: RegionLink,
     pub metrics: RunnerMetrics,
     pub on_start: OnStart,
-    /// Times of slots count from here.
+    /// The origin of the times in `slots`.
     pub epoch: Instant,
 }
 
 impl Shared {
-    /// The dispatcher that an id names by its first digits, if it has the form of one.
-    pub fn dispatcher(&self, id: &str) -> Option<usize> {
+    /// Returns the dispatcher named by the first digits of a request id, if the id is well formed.
+    pub fn dispatcher_of(&self, id: &str) -> Option<usize> {
         let well_formed = id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit());
         let number = usize::from_str_radix(id.get(..4).filter(|_| well_formed)?, 16).ok()?;
         (number < self.dispatchers.len()).then_some(number)
     }
 
-    /// From where a dispatcher sees runners.
+    /// Returns the view of a dispatcher.
     pub fn view(&self, dispatcher: usize) -> View {
         self.views[self.dispatchers[dispatcher].view]
     }
 
-    /// The side of a dispatcher.
+    /// Returns the traffic source of a dispatcher.
     pub fn source(&self, dispatcher: usize) -> TrafficSource {
         self.view(dispatcher).source
     }
--- a/stand-ins/src/hollow/slots.rs
+++ b/stand-ins/src/hollow/slots.rs
@@ -1,21 +1,21 @@
-//! A runner's decisions: which request runs when and how long, in slots, a queue in order, and a speed that grows
-//! after a cold start. It owns that state; it must never read a clock or a socket: the time is told, in
-//! microseconds from any moment on.
+//! A runner's scheduling: which request runs when and for how long, with slots, a FIFO queue and a speed
+//! that grows after a cold start. Contains no I/O and reads no clock: callers pass the time in microseconds
+//! since any fixed moment.
 
 use std::collections::{HashMap, VecDeque};
 
-/// How a cold runner gets warm: its speed grows evenly from a share of its full one.
+/// The speed after a cold start: it grows linearly from a share of the full speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// The share that it begins with.
+    /// The initial share of the full speed.
     pub initial_speed: f64,
-    /// It is warm after this, in microseconds.
+    /// The time until full speed, in microseconds.
     pub duration_us: u64,
 }
 
 impl SlowStart {
-    /// How long work takes that takes `work_us` at full speed and begins `age_us` after the cold start: the time
-    /// over which the speed adds up to the work.
+    /// Returns how long a request runs that starts `age_us` after the cold start and takes `work_us` at
+    /// full speed: the time over which the integral of the speed equals the work.
     pub fn running_time_us(&self, age_us: u64, work_us: u64) -> u64 {
         if age_us >= self.duration_us || self.initial_speed >= 1.0 {
             return work_us;
@@ -33,32 +33,32 @@
     }
 }
 
-/// A request that begins to run.
+/// A request that starts to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedJob {
-    /// The number that it has here.
-    pub job: u64,
-    /// Its id.
+    /// Its job number.
+    pub number: u64,
+    /// The request id.
     pub id: String,
     /// When it ends.
     pub ends_us: u64,
 }
 
-/// A request that has run.
+/// A request that has finished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// Whether somebody waits for it still.
+    /// Whether it was not cancelled.
     pub wanted: bool,
-    /// The one that has its slot now.
+    /// The request that started in the freed slot.
     pub next_started: Option<StartedJob>,
 }
 
-/// What giving up has met.
+/// The state in which a cancellation found a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It never runs.
+    /// It was queued and never runs.
     Queued,
-    /// It goes on to its end, and is not told.
+    /// It runs to its end, which is not reported.
     Running,
     /// There is no such request.
     Unknown,
@@ -67,13 +67,13 @@
 /// A runner's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that can run at once.
+    /// The number of requests that can run at once.
     pub slots: u32,
-    /// Those that do.
+    /// The number of running requests.
     pub running: u32,
-    /// Those in the queue.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Running time of late, in microseconds.
+    /// Exponentially weighted mean of the running time, in microseconds.
     pub mean_running_us: f64,
 }
 
@@ -84,13 +84,13 @@
     wanted: bool,
 }
 
-/// Weight of the newest request in the running time of late.
+/// The weight of the newest request in the mean running time.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// The slots of a runner.
+/// The slots and the queue of a runner.
 pub struct Slots {
     slow_start: SlowStart,
-    /// When it started cold, if it did.
+    /// The time of the last cold start, if there was one.
     cold_start_us: Option<u64>,
     queue: VecDeque<u64>,
     jobs: HashMap<u64, Job>,
@@ -101,7 +101,7 @@
 }
 
 impl Slots {
-    /// A warm runner with so many.
+    /// Creates a runner at full speed with this many slots.
     pub fn new(slots: u32, slow_start: SlowStart) -> Slots {
         Slots {
             slow_start,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes a request: the number that it has here, and its start if a slot is free.
+    /// Queues a request. Returns its job number, and the request that starts if a slot is free.
     pub fn accept(&mut self, now_us: u64, id: &str, work_us: u64) -> (u64, Option<StartedJob>) {
         let job = self.next_number;
         self.next_number += 1;
@@ -125,7 +125,7 @@
         (job, self.start_next(now_us))
     }
 
-    /// The head of the queue gets a slot, if there are both.
+    /// Starts the request at the head of the queue if a slot is free.
     fn start_next(&mut self, now_us: u64) -> Option<StartedJob> {
         if self.load.running >= self.load.slots {
             return None;
@@ -141,10 +141,10 @@
             }
             None => job.work_us,
         };
-        Some(StartedJob { job: number, id: job.id.clone(), ends_us: now_us.saturating_add(time) })
+        Some(StartedJob { number, id: job.id.clone(), ends_us: now_us.saturating_add(time) })
     }
 
-    /// A request has run; none if it is of before a loss.
+    /// Finishes a request. Returns `None` if it was dropped by a crash.
     pub fn finish(&mut self, now_us: u64, job: u64) -> Option<FinishedJob> {
         let ended = self.remove(job)?;
         self.load.running -= 1;
@@ -156,12 +156,12 @@
         Some(FinishedJob { wanted: ended.wanted, next_started: self.start_next(now_us) })
     }
 
-    /// The newest request of an id is given up.
+    /// Cancels the newest request of an id.
     pub fn cancel_newest(&mut self, id: &str) -> CancelOutcome {
         self.by_id.get(id).copied().map_or(CancelOutcome::Unknown, |job| self.cancel(job))
     }
 
-    /// A request is given up.
+    /// Cancels a request by its job number.
     pub fn cancel(&mut self, job: u64) -> CancelOutcome {
         match self.jobs.get_mut(&job) {
             None => CancelOutcome::Unknown,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Whether the newest request of this id is here and has not been given up.
+    /// Whether the newest request of this id is queued or running and not cancelled.
     pub fn is_wanted(&self, id: &str) -> bool {
         self.by_id.get(id).and_then(|job| self.jobs.get(job)).is_some_and(|job| job.wanted)
     }
@@ -191,7 +191,7 @@
         Some(removed)
     }
 
-    /// All is lost: the ids of what was here, and whether it ran. Numbers are not given again.
+    /// Drops all requests. Returns their ids, and whether each was running. Job numbers are not reused.
     pub fn drop_all(&mut self) -> Vec<(String, bool)> {
         self.queue.clear();
         self.by_id.clear();
@@ -199,12 +199,12 @@
         self.jobs.drain().map(|(_, job)| (job.id, job.started_us.is_some())).collect()
     }
 
-    /// It starts cold.
+    /// Begins a cold start.
     pub fn start_cold(&mut self, now_us: u64) {
         self.cold_start_us = Some(now_us);
     }
 
-    /// Its load.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         self.load
     }
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -1,5 +1,4 @@
-//! HTTP/1.1 as the platform's parties speak it: a head, and a body whose length is stated. It owns one
-//! connection's reading and writing; it must never repeat a message by itself.
+//! Minimal HTTP/1.1 with bodies of stated length, as the platform uses it. Never resends a message.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
@@ -8,73 +7,73 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Largest message that is read.
+/// The maximum size of a message that is read.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Room for the next bytes.
+/// The buffer space reserved before each read.
 const READ_RESERVE_BYTES: usize = 1 << 10;
 
-/// A message as it came.
+/// A received message.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Method and target of a request; empty for an answer.
+    /// The method of a request; empty for a response.
     pub method: String,
-    /// The target of a request.
+    /// The target of a request; empty for a response.
     pub target: String,
-    /// The status of an answer.
+    /// The status of a response.
     pub status: u16,
-    /// Headers, by their names in lower case.
+    /// Headers, by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The body; what is no UTF-8 in it is replaced.
+    /// The body; invalid UTF-8 is replaced.
     pub body: String,
-    /// The bytes that it took on the wire.
+    /// The size of the message on the wire.
     pub wire_bytes: usize,
 }
 
 impl Message {
-    /// The status of an answer.
+    /// Returns the status of a response.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// A header's value, by its name in lower case; empty if there is none.
+    /// Returns the value of a header by its lower-case name, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// One connection, with what was read beyond the last message.
+/// A connection, with the bytes received after the last message.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Connection {
-    /// An accepted or opened stream.
+    /// Wraps an accepted or opened stream.
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
         Connection { stream, buffer: Vec::new() }
     }
 
-    /// Opens one, for so long at the most.
+    /// Opens a connection within a timeout.
     pub async fn open(to: SocketAddr, timeout: Duration) -> io::Result<Connection> {
         let stream = tokio::time::timeout(timeout, TcpStream::connect(to)).await;
         let stream = stream.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        // On loopback a connection to a port that nobody listens on may be given that very port as its own
-        // and meet itself: what is written on it is then read back as an answer.
+        // On loopback, a connection to a port without a listener may be given that same port as its local
+        // port and connect to itself: what is written to it would be read back as an answer.
         if stream.local_addr()? == stream.peer_addr()? {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
         Ok(Connection::new(stream))
     }
 
-    /// The next message; `None` where the stream ends between two.
+    /// Reads the next message; `None` if the stream ends between two messages.
     pub async fn read(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, length)) = parse(&self.buffer)? {
                 self.buffer.drain(..length);
                 return Ok(Some(message));
             }
-            // A full buffer would be read into a few bytes at a time.
+            // Without spare capacity, each read would return only a few bytes.
             self.buffer.reserve(READ_RESERVE_BYTES);
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return if self.buffer.is_empty() {
@@ -89,7 +88,8 @@
         }
     }
 
-    /// Whether the other side has ended it. What it has written before is kept for the next [`Self::read`].
+    /// Whether the peer has closed the connection. Bytes received before that are kept for the next
+    /// [`Self::read`].
     pub fn is_closed(&mut self) -> bool {
         loop {
             self.buffer.reserve(READ_RESERVE_BYTES);
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Returns once the other side has ended it.
+    /// Returns once the peer has closed the connection.
     pub async fn closed(&mut self) {
         while self.stream.readable().await.is_ok() && !self.is_closed() {}
     }
 
-    /// Ends it as a machine does that vanishes: by a reset.
+    /// Closes the connection by a TCP reset, as a machine that crashes does.
     pub fn reset(self) {
         let _ = self.stream.set_zero_linger();
     }
 
-    /// The next line of a stream in chunks, without its end. Heads of chunks are lines too.
+    /// Reads the next line of a chunked stream, without its line ending. Chunk headers are lines too.
     pub async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -125,20 +125,20 @@
         }
     }
 
-    /// Writes a message whole.
+    /// Writes a message with a `Content-Length`.
     pub async fn write(&mut self, head: &str, body: &[u8]) -> io::Result<()> {
         let mut bytes = format!("{head}\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         bytes.extend_from_slice(body);
         self.stream.write_all(&bytes).await
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub async fn write_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 }
 
-/// One exchange on a connection of its own, for so long at the most.
+/// Makes one exchange on a new connection within a timeout.
 pub async fn call(to: SocketAddr, head: &str, body: &[u8], timeout: Duration) -> io::Result<Message> {
     let exchange = async {
         let mut connection = Connection::open(to, timeout).await?;
@@ -148,14 +148,16 @@
     tokio::time::timeout(timeout, exchange).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Reads a message from a blocking stream, and not a byte beyond it; `None` where there is none.
+/// Reads a message from a blocking stream without consuming bytes beyond it; `None` if there is no whole
+/// message.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut buffer = Vec::new();
     loop {
         let buffered = buffer.len();
         let chunk = match from.fill_buf() {
             Ok(chunk) => chunk,
-            // A read with a time limit is not begun anew after a signal: a child that stops, for one.
+            // A read with a timeout is not restarted after a signal, for example when a child process
+            // stops.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
             Err(_) => return None,
         };
@@ -172,14 +174,14 @@
     }
 }
 
-/// One blocking exchange on a connection of its own; `None` if there was no whole answer.
+/// Makes one blocking exchange on a new connection; `None` if there was no whole answer.
 pub fn call_blocking(to: SocketAddr, head: &str, body: &str) -> Option<Message> {
     let mut stream = std::net::TcpStream::connect(to).ok()?;
     write!(stream, "{head}\r\nHost: t\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
     read_message(&mut io::BufReader::new(stream))
 }
 
-/// A message at the start of these bytes and its length, once it is there whole.
+/// Parses the message at the start of the bytes. Returns it with its length once it is complete.
 fn parse(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
     let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
     let mut headers = [httparse::EMPTY_HEADER; 64];
--- a/stand-ins/src/installation.rs
+++ b/stand-ins/src/installation.rs
@@ -1,20 +1,19 @@
-//! What stands at an installation and what goes wrong there: halls, classes of request, clients' habits,
-//! faults. It owns their form in an experiment's file, with its defaults; it owns no run of one. Times end in
-//! their unit; shares are from 0 to 1.
+//! The simulated installation as an experiment's file describes it: halls, request classes, client
+//! behaviour and faults, with defaults. Names of times end in their unit; shares are from 0 to 1.
 
 use serde::Deserialize;
 
-/// A hall of like pick nodes.
+/// A hall of identical pick nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hall {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// How many nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// Slots of each.
+    /// The number of slots of each node.
     pub slots: usize,
-    /// Speed of each, 1 the usual.
+    /// The speed of each node relative to a usual one.
     #[serde(default = "one")]
     pub speed: f64,
 }
@@ -23,39 +22,39 @@
     1.0
 }
 
-/// The nodes that drop each other's repeats.
+/// The nodes that deduplicate keys together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// Those of a hall.
+    /// The nodes of a hall.
     Zone,
-    /// All.
+    /// All nodes.
     All,
 }
 
-/// A class of request and its traffic.
+/// A request class and its traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// First tries a second, over all dispatchers.
+    /// First tries per second, over all dispatchers.
     pub rate_per_s: f64,
-    /// Running time at speed 1, drawn evenly from the range.
+    /// Running time at speed 1, drawn uniformly from this range.
     pub work_ms: [f64; 2],
-    /// Slots that a job takes.
+    /// The number of slots that a job takes.
     #[serde(default = "one_slot")]
     pub slots: usize,
-    /// An answer within this and twice its running time is in time.
+    /// An answer is in time within this time plus twice its running time.
     pub objective_ms: u64,
-    /// The client gives a try up after this.
+    /// The client abandons a try after this time.
     pub deadline_ms: u64,
-    /// Worth of an answer in time.
+    /// The worth of an answer in time.
     #[serde(default = "one")]
     pub worth: f64,
-    /// Who drops repeats; left out where a request is safe to repeat and has no key.
+    /// The nodes that drop repeats; `None` where a request is safe to repeat and has no key.
     pub group: Option<Group>,
-    /// For how long.
+    /// The window within which repeats are dropped.
     #[serde(default)]
     pub window_ms: u64,
 }
@@ -64,23 +63,23 @@
     1
 }
 
-/// What clients do.
+/// The behaviour of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Later tries after a failure or refusal, at the most.
+    /// The maximum number of further tries after a failure or refusal.
     pub retries: u32,
-    /// Wait before one, unless the answer says when to come back.
+    /// The wait before a further try, unless the answer says when to retry.
     pub wait_ms: u64,
-    /// Share of keyed requests that are sent a second time while the first is under way.
+    /// Share of keyed requests that are sent a second time while the first is in progress.
     pub eager: f64,
-    /// After how long: one of these.
+    /// The delay of the second request: one of these.
     pub eager_ms: Vec<u64>,
-    /// Share of keyed requests whose client breaks off after 20 ms and repeats at once.
+    /// Share of keyed requests whose client disconnects after 20 ms and repeats at once.
     pub leave: f64,
     /// Share of repeats that go to another dispatcher.
     pub wander: f64,
-    /// Whether later tries are marked.
+    /// Whether further tries are marked as such.
     pub marks: bool,
 }
 
@@ -98,17 +97,17 @@
     }
 }
 
-/// Shares of attempts to which a pick node does something wrong.
+/// Shares of attempts with an injected fault.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// The job runs, but the connection ends before the 202.
+    /// The job runs, but the connection is closed before the 202.
     pub reset: f64,
-    /// The job runs, but nobody is told.
+    /// The job runs, but no call-back is sent.
     pub silent: f64,
-    /// The job runs, and is told to have failed.
+    /// The job runs and is reported as failed.
     pub error: f64,
-    /// Turned away unseen.
+    /// The attempt is refused with 503 and marked as not processed.
     pub away: f64,
     /// The job takes longer ...
     pub slow: f64,
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for all that a dispatcher speaks to, written from the platform's public pages, for the node's
-//! tests and for the lab's experiments. They own the truth about what ran where; they must never share code
-//! with the dispatcher, whose claims they test, nor leave the loopback addresses.
+//! Stand-ins for everything that a dispatcher communicates with, written from the platform's public pages,
+//! for the node's tests and the lab's experiments. They record what was really executed where. They share
+//! no code with the dispatcher, whose claims they test, and use loopback addresses only.
 
 pub mod discovery;
 pub mod hall;
--- a/stand-ins/src/metrics.rs
+++ b/stand-ins/src/metrics.rs
@@ -1,41 +1,41 @@
-//! What stand-ins count, for each side: what real dispatchers cause and what hollow ones do. It owns the counting
-//! and how counts are named; it must never cost more than an addition, nor know what is counted.
+//! Counters and gauges of the stand-ins, kept separately for each traffic source. An update costs one or
+//! two atomic operations.
 
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Who causes what is counted.
+/// The kind of dispatcher that causes the counted traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficSource {
-    /// Dispatchers that are processes of their own.
+    /// Dispatchers that are separate processes.
     Real,
-    /// Dispatchers of which many are in one process.
+    /// Simulated dispatchers, many of them in one process.
     Hollow,
-    /// What runs on control machines.
+    /// The processes on control machines.
     Control,
 }
 
 impl TrafficSource {
-    /// Their names, in order.
+    /// The names, in the order of the variants.
     pub const NAMES: [&str; 3] = ["real", "hollow", "control"];
 
-    /// The side of a dispatcher.
+    /// Returns the source of a dispatcher.
     pub fn of_dispatcher(hollow: bool) -> TrafficSource {
         if hollow { TrafficSource::Hollow } else { TrafficSource::Real }
     }
 }
 
-/// Things that are counted, numbered in the order of their names.
+/// An enum of metrics with a name for each variant.
 pub trait MetricNames: Copy {
-    /// Their names.
+    /// The names, in the order of the variants.
     const NAMES: &'static [&'static str];
 
-    /// The number of one.
+    /// Returns the index of a variant.
     fn index(self) -> usize;
 }
 
-/// An enum of things that are counted, each with its name.
+/// Defines an enum of metrics with their names.
 macro_rules! metric_names {
     ($(#[$doc:meta])* $name:ident { $($what:ident = $text:literal,)* }) => {
         $(#[$doc])*
@@ -65,7 +65,7 @@
     gauges: Vec<GaugeValue>,
 }
 
-/// The counts `C`, which only grow, and the levels `G`, which come and go, of all sides.
+/// Counters `C` and gauges `G` for each traffic source.
 pub struct Metrics<C, G>([SourceMetrics; 3], PhantomData<(C, G)>);
 
 impl<C: MetricNames, G: MetricNames> Default for Metrics<C, G> {
@@ -79,31 +79,31 @@
 }
 
 impl<C: MetricNames, G: MetricNames> Metrics<C, G> {
-    /// Adds to a count of a side.
+    /// Adds to a counter.
     pub fn add(&self, source: TrafficSource, counter: C, amount: usize) {
         self.0[source as usize].counters[counter.index()].fetch_add(amount as u64, Relaxed);
     }
 
-    /// One more.
+    /// Adds one to a gauge.
     pub fn increment(&self, source: TrafficSource, gauge: G) {
         let value = &self.0[source as usize].gauges[gauge.index()];
         let now = value.now.fetch_add(1, Relaxed) + 1;
         value.max.fetch_max(now, Relaxed);
     }
 
-    /// One less.
+    /// Subtracts one from a gauge.
     pub fn decrement(&self, source: TrafficSource, gauge: G) {
         self.0[source as usize].gauges[gauge.index()].now.fetch_sub(1, Relaxed);
     }
 
-    /// One more, until what it returns is dropped.
+    /// Adds one to a gauge until the returned guard is dropped.
     pub fn hold(&self, source: TrafficSource, gauge: G) -> GaugeGuard<'_, C, G> {
         self.increment(source, gauge);
         GaugeGuard { metrics: self, source, gauge }
     }
 
-    /// All of them by name, its side's name and a dot before it: a level's value now ends in `_now`, the most that it
-    /// was in `_most`.
+    /// Returns all values by name, prefixed by the source's name and a dot. A gauge has its current value
+    /// under `_now` and its maximum under `_most`.
     pub fn values(&self) -> BTreeMap<String, f64> {
         let mut values = BTreeMap::new();
         for (source, source_name) in self.0.iter().zip(TrafficSource::NAMES) {
@@ -119,7 +119,7 @@
     }
 }
 
-/// One that is counted in a level.
+/// Subtracts one from a gauge when dropped.
 pub struct GaugeGuard<'a, C: MetricNames, G: MetricNames> {
     metrics: &'a Metrics<C, G>,
     source: TrafficSource,
--- a/stand-ins/src/program.rs
+++ b/stand-ins/src/program.rs
@@ -1,13 +1,12 @@
-//! What every dispatcher that is started for a test or an experiment needs: the program, an address, and
-//! settings as the platform gives them. It owns their form, and must never start one.
+//! What tests and experiments need to start a dispatcher: the path of the program, a listening address and
+//! settings in the platform's format. Starts no process.
 
 use crate::installation::{Class, Group};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// An address that stays free while its dispatcher is down: below the ports that the system gives to
-/// whoever connects.
+/// Returns an address that stays free while its dispatcher is down: its port is below the ephemeral range.
 ///
 /// # Errors
 ///
@@ -23,14 +22,14 @@
     Err(last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into()))
 }
 
-/// The program beside this one.
+/// Returns the path of the `sablerun` program beside the current one.
 ///
 /// # Errors
 ///
-/// Says how to build it.
+/// If there is no such program; the message says how to build it.
 pub fn program_path() -> Result<PathBuf, String> {
     let current_exe = std::env::current_exe().map_err(|e| e.to_string())?;
-    // Tests stand one folder below.
+    // Test executables are one folder deeper.
     let beside = current_exe.with_file_name("sablerun");
     let above = current_exe.parent().and_then(Path::parent).map(|folder| folder.join("sablerun"));
     if let Some(found) = [Some(beside.clone()), above].into_iter().flatten().find(|path| path.is_file()) {
@@ -39,7 +38,7 @@
     Err(format!("{}: no such program; build it first: cargo build --release --locked", beside.display()))
 }
 
-/// The settings of one dispatcher in a zone, with these classes.
+/// Returns the settings of a dispatcher in a zone, with these classes.
 pub fn settings_for(classes: &[Class], halls: &[&str], zone: &str) -> Value {
     let services: Vec<_> = classes.iter().map(service).collect();
     let stretch = vec![2.0; services.len()];
--- a/stand-ins/src/region_link.rs
+++ b/stand-ins/src/region_link.rs
@@ -1,29 +1,28 @@
-//! The link between regions: whole, or silent one way or both. It owns that state and the waiting for it; it must
-//! never touch a connection.
+//! The network link between regions: intact, or partitioned in one or both directions.
 
 use crate::metrics::TrafficSource;
 use tokio::sync::watch;
 
-/// How the link is cut.
+/// The direction in which the link is partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
     /// Nothing passes.
     BothDirections,
-    /// What dispatchers send arrives; nothing comes back to them.
+    /// What dispatchers send arrives, but nothing passes back to them.
     ToDispatchers,
 }
 
-/// From where dispatchers see a stand-in: each of these has an address of its own, so that a cut link and each
-/// side's bytes can be told apart.
+/// A group of dispatchers to which a stand-in is reachable at an address of its own, so that a partition
+/// and the traffic of each source can be told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The region that they stand in.
+    /// The region that the dispatchers are in.
     pub region: usize,
-    /// What they cause is counted under this.
+    /// The traffic source under which their traffic is counted.
     pub source: TrafficSource,
 }
 
-/// The link.
+/// The link between regions.
 pub struct RegionLink(watch::Sender<Option<Partition>>);
 
 impl Default for RegionLink {
@@ -33,20 +32,20 @@
 }
 
 impl RegionLink {
-    /// Cuts it, or makes it whole.
+    /// Partitions the link; `None` restores it.
     pub fn set(&self, cut: Option<Partition>) {
         self.0.send_replace(cut);
     }
 
-    /// How it is cut, for two ends that stand in these regions.
+    /// Returns the partition between two regions.
     pub fn partition(&self, one: usize, other: usize) -> Option<Partition> {
         (one != other).then(|| *self.0.borrow()).flatten()
     }
 
-    /// Returns once it is whole for two ends in these regions.
+    /// Returns once the link between two regions is intact.
     pub async fn wait_restored(&self, one: usize, other: usize) {
         if one != other {
-            // The sender is alive: it is part of this.
+            // Cannot fail: `self` holds the sender.
             let _ = self.0.subscribe().wait_for(Option::is_none).await;
         }
     }
--- a/stand-ins/src/scripted.rs
+++ b/stand-ins/src/scripted.rs
@@ -1,9 +1,9 @@
-//! Stand-ins that do as a test says: a dispatcher started for it, discovery, runners that do what a job's
-//! text says, Faktory workers and clients. Their faces block, as tests do; what serves stands on the same
-//! HTTP and the same discovery as the experiments'. They wait for events, never for a time to pass, and
-//! panic where a test would.
+//! Scripted stand-ins for the node's tests: the dispatcher process, discovery, runners whose behaviour a
+//! job's text selects, and Faktory workers and clients. Their interfaces block, as the tests do; underneath
+//! they use the same HTTP and discovery code as the experiments. They wait for events and never for a fixed
+//! time, and panic where a test would fail.
 
-#![allow(missing_docs, reason = "the tests' own words")]
+#![allow(missing_docs, reason = "the names say it, and only tests use them")]
 
 mod events;
 mod faktory;
@@ -20,12 +20,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest that any wait for an event may take before the test fails.
+/// The maximum time that a test waits for an event.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One exchange on a connection of its own.
+/// Makes one exchange on a new connection.
 pub fn call(at: SocketAddr, head: &str, body: &str) -> Message {
-    call_blocking(at, head, body).expect("an answer")
+    call_blocking(at, head, body).expect("no answer")
 }
 
 fn behaviour_of(text: &str) -> &'static str {
@@ -33,7 +33,7 @@
     behaviours.into_iter().find(|behaviour| text.contains(behaviour)).unwrap_or("serve")
 }
 
-/// A client's request on the platform's front.
+/// Returns the head of a client's request to the platform's front.
 pub fn api_request(class: &str, id: &str, timeout: &str, more_headers: &str) -> String {
     format!(
         "POST /api?sid=7f3a HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
@@ -41,7 +41,7 @@
     )
 }
 
-/// An id that no other job of this test run has.
+/// Returns an id that is unique in this test run.
 pub fn new_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
--- a/stand-ins/src/scripted/events.rs
+++ b/stand-ins/src/scripted/events.rs
@@ -1,9 +1,9 @@
-//! Things that happened, for a test to wait on. It owns the waiting; it must never wait for a time to pass.
+//! A log of events for tests to wait on.
 
 use super::EVENT_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex};
 
-/// Things that happened, for a test to wait on.
+/// A log of events that a test can wait on.
 #[derive(Clone, Default)]
 pub struct Events(Arc<(Mutex<Vec<String>>, Condvar)>);
 
@@ -21,7 +21,7 @@
         self.all().iter().filter(|event| event.contains(text)).count()
     }
 
-    /// Waits until this many events hold the text; the last of them.
+    /// Waits until this many events contain the text. Returns the last of them.
     pub fn wait(&self, text: &str, count: usize) -> String {
         let found =
             |all: &Vec<String>| all.iter().filter(|event| event.contains(text)).nth(count - 1).cloned();
@@ -30,6 +30,6 @@
             .1
             .wait_timeout_while(self.0.0.lock().unwrap(), EVENT_TIMEOUT, |all| found(all).is_none())
             .unwrap();
-        found(&all).unwrap_or_else(|| panic!("no {text:?} x{count} among {all:#?}"))
+        found(&all).unwrap_or_else(|| panic!("{text:?} does not occur {count} times in {all:#?}"))
     }
 }
--- a/stand-ins/src/scripted/faktory.rs
+++ b/stand-ins/src/scripted/faktory.rs
@@ -1,4 +1,4 @@
-//! Faktory clients and workers that do as a test says. They own their side of the conversation.
+//! Scripted Faktory clients and workers.
 
 use super::{Events, behaviour_of};
 use serde_json::{Value, json};
@@ -6,13 +6,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 
-/// One side of a Faktory conversation.
+/// A connection of a Faktory client or worker.
 pub struct FaktoryConnection<S: Read + Write> {
     pub stream: BufReader<S>,
 }
 
 impl FaktoryConnection<TcpStream> {
-    /// Connects and says HELLO, as a worker if there is a wid.
+    /// Connects and sends HELLO, as a worker if `wid` is given.
     pub fn connect(address: SocketAddr, wid: Option<&str>) -> FaktoryConnection<TcpStream> {
         let mut connection =
             FaktoryConnection { stream: BufReader::new(TcpStream::connect(address).unwrap()) };
@@ -38,19 +38,19 @@
         (self.stream.read_line(&mut line).unwrap_or(0) > 0).then(|| line.trim_end().to_owned())
     }
 
-    /// Sends a command; the first line of its reply.
+    /// Sends a command and returns the first line of the reply.
     pub fn command(&mut self, line: &str) -> String {
         self.send(line);
         self.read_line().unwrap_or_default()
     }
 
-    /// One FETCH; the job, if there was one.
+    /// Sends one FETCH and returns the job, if there was one.
     pub fn fetch(&mut self, queues: &str) -> Option<Value> {
         self.send(&format!("FETCH {queues}"));
         self.read_fetched()
     }
 
-    /// What a FETCH that was sent comes back with.
+    /// Reads the reply to a FETCH that was sent.
     pub fn read_fetched(&mut self) -> Option<Value> {
         let length: usize = self.read_line()?.strip_prefix('$')?.parse().ok()?;
         let mut bytes = vec![0; length + 2];
@@ -64,8 +64,8 @@
         .to_string()
 }
 
-/// A worker process with so many connections, each of which fetches until its end. It does with jobs
-/// what a [`Runner`] does; one that hangs is FAILed when the test says so.
+/// Starts a worker with this many connections, each of which fetches until it is closed. It treats jobs as
+/// a [`Runner`] does; a job that hangs is FAILed by the test.
 pub fn worker(address: SocketAddr, wid: &str, connections: usize, events: &Events) {
     for _ in 0..connections {
         let (mut connection, events, wid) =
@@ -92,7 +92,7 @@
                         continue;
                     }
                     "error" => connection.command(&format!("FAIL {}", json!({"jid": jid, "message": "no"}))),
-                    // Nobody waits for it any more by the time that a later job is done.
+                    // No client waits for it by the time that a later job is done.
                     "hang" | "mute" => continue,
                     _ => connection
                         .command(&format!("ACK {}", json!({"jid": jid, "result": format!("by {wid}")}))),
--- a/stand-ins/src/scripted/program.rs
+++ b/stand-ins/src/scripted/program.rs
@@ -1,4 +1,4 @@
-//! The program started for a test: its files, its settings, its log and its end. It owns the process.
+//! The dispatcher process started for a test: its files, settings, log and end.
 
 use super::{Discovery, Events};
 use crate::installation::{Class, Group};
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// The settings of most tests: one dispatcher, four classes, of which the last two are keyed.
+/// The settings of most tests: one dispatcher and four classes, the last two of them keyed.
 pub fn settings() -> Value {
     let class = |name: &str, worth, deadline_ms, group, window_ms| Class {
         name: name.to_owned(),
@@ -39,7 +39,7 @@
     settings
 }
 
-/// The operator's file of most tests.
+/// The operator's configuration file of most tests.
 pub const GATEWAY_CONFIG: &str = r#"
 listen = "127.0.0.1:0"
 plaintext = true
@@ -62,7 +62,7 @@
 class = "short-pick"
 "#;
 
-/// A folder for one test's files.
+/// Creates a folder for the files of one test.
 pub fn test_dir() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -72,13 +72,13 @@
     folder
 }
 
-/// The program, started.
+/// A running dispatcher process.
 pub struct Program {
     pub child: Child,
     pub address: SocketAddr,
     pub faktory_address: Option<SocketAddr>,
     pub log: Events,
-    /// The file of its configuration, and its `$TMPDIR`.
+    /// The path of its configuration file, and its `$TMPDIR`.
     pub config: PathBuf,
     pub temp_dir: PathBuf,
 }
@@ -89,7 +89,8 @@
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
         let mut command = Command::new(program_path().unwrap());
         command.env("NODE_CONFIG", folder.join("config.json")).env("RUST_LOG", "debug");
-        // Private, as the platform's is: what a process keeps there is for its successor alone.
+        // Private to the process, as on the platform: only a successor may read what a process leaves
+        // there.
         command.env("TMPDIR", &folder);
         command.stderr(Stdio::piped()).stdout(Stdio::null()).stdin(Stdio::null());
         if let Some(text) = gateway {
@@ -99,8 +100,8 @@
         command
     }
 
-    /// A command for a process on a clients' socket that the caller holds, as the platform does; with the
-    /// `$TMPDIR` of a process that it replaces, where one is named.
+    /// Returns a command for a process that inherits a listening socket for clients, as on the platform. It
+    /// gets the `$TMPDIR` of the process that it replaces, if one is given.
     pub fn command_on_socket(
         config: &Value,
         socket: &std::net::TcpListener,
@@ -122,7 +123,7 @@
                "known": {"seq": 0, "whole": true, "hosts": []}, "settings": settings, "unknown": 1})
     }
 
-    /// Starts it and waits until it is ready and has heard from discovery.
+    /// Starts the program and waits until it is ready and has its first list from discovery.
     pub fn start(discovery: &Discovery, settings: Value, gateway: Option<&str>) -> Program {
         Program::start_with(Program::config(discovery.address, settings), gateway)
     }
@@ -132,12 +133,12 @@
         Program::spawn(command, gateway.is_some_and(|text| text.contains("listen")))
     }
 
-    /// Starts a command that was made ready, and waits likewise.
+    /// Starts a prepared command and waits in the same way.
     pub fn spawn(command: Command, faktory: bool) -> Program {
         Program::spawn_until(command, faktory, "list Full")
     }
 
-    /// The same, and waits for another word of its log than of its first list.
+    /// As [`Program::spawn`], but waits for this text in the log instead of for the first list.
     pub fn spawn_until(mut command: Command, faktory: bool, text: &str) -> Program {
         let env_path = |variable: &str| {
             let value = command.get_envs().find(|(name, _)| *name == variable).unwrap().1.unwrap();
@@ -158,7 +159,7 @@
         Program { child, address, faktory_address, log, config, temp_dir }
     }
 
-    /// Where its operators' door is.
+    /// Returns the address of the admin socket.
     pub fn admin_address(&self) -> SocketAddr {
         let line = self.log.wait("operators' door on ", 1);
         line.split_once("operators' door on ").unwrap().1.trim().parse().unwrap()
--- a/stand-ins/src/scripted/runner.rs
+++ b/stand-ins/src/scripted/runner.rs
@@ -1,5 +1,4 @@
-//! Discovery and runners of the platform for one dispatcher, that do as a test says. They own what is answered;
-//! they must never do anything that no test has planned.
+//! Scripted discovery and runners for one dispatcher.
 
 use super::{EVENT_TIMEOUT, Events, Program, behaviour_of};
 use crate::discovery::PlannedReply;
@@ -11,19 +10,19 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 
-/// What runs the stand-ins of tests, whose own code blocks.
+/// The runtime of the stand-ins; the tests themselves are blocking code.
 fn background() -> &'static Runtime {
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
     RUNTIME.get_or_init(|| Runtime::new().unwrap())
 }
 
-/// An entry of discovery's list.
+/// Returns an entry of the runner list.
 pub fn host(name: &str, dial: SocketAddr, site: &str, health: &str) -> Value {
     json!({"host": name, "dial": dial.to_string(), "site": site, "class": "k4-full", "block": 0,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
-/// Discovery for one dispatcher: tells the whole list first, then the changes that a test makes.
+/// Discovery for one dispatcher: sends the whole list first, then the changes that a test makes.
 pub struct Discovery {
     pub address: SocketAddr,
     pub request_lines: Events,
@@ -35,7 +34,7 @@
         Discovery::start_with_replies(hosts, &[])
     }
 
-    /// Its first calls go as planned.
+    /// Starts with scripted replies to the first calls.
     pub fn start_with_replies(hosts: Vec<Value>, replies: &[PlannedReply]) -> Discovery {
         let service = background()
             .block_on(crate::discovery::Discovery::start_with_replies(vec![hosts], replies))
@@ -43,33 +42,32 @@
         Discovery { address: service.addresses[0], request_lines: service.request_lines.clone(), service }
     }
 
-    /// Tells every watch of a change.
+    /// Sends a change to every watch.
     pub fn update(&self, hosts: &[Value]) {
         self.service.update(&[hosts.to_vec()]);
     }
 
-    /// Goes on where the plan has it wait for that.
+    /// Lets replies continue that wait for this call.
     pub fn resume(&self) {
         self.service.resume();
     }
 
-    /// Begins to count its versions anew, with this list.
+    /// Simulates a restart: versions start again, with this list.
     pub fn restart(&self, hosts: Vec<Value>) {
         self.service.restart(vec![hosts]);
     }
 
-    /// Breaks every watch.
+    /// Closes every watch.
     pub fn break_watches(&self) {
         self.service.break_watches();
     }
 }
 
-/// A runner of the platform. A job's text says what becomes of it: `serve`, `error`, `away`, `reset`,
-/// `hang` (taken, and nothing more), `early` (the call-back comes before the 202), `mute` (no 202),
-/// `unusable` (400).
+/// A runner. A job's text selects its behaviour: `serve`, `error`, `away`, `reset`, `hang` (accepted, but
+/// never finished), `early` (the call-back precedes the 202), `mute` (no 202), `unusable` (400).
 pub struct Runner {
     pub address: SocketAddr,
-    /// `POST word id`, `DELETE id`.
+    /// `POST behaviour id ...` and `DELETE id`, among others.
     pub events: Events,
     dispatcher: Arc<OnceLock<SocketAddr>>,
 }
@@ -135,7 +133,7 @@
                     connection.write("HTTP/1.1 202 Accepted", b"").await?;
                     call_back("started", Value::Null).await?;
                     let state = if behaviour == "error" { "failed" } else { "done" };
-                    // A call-back may come more than once.
+                    // A call-back may be sent more than once.
                     for _ in 0..2 {
                         let answer = call_back(state, json!(format!("by {name}"))).await?;
                         events.push(format!("{state} {id} -> {answer}"));
--- a/stand-ins/tests/common/mod.rs
+++ b/stand-ins/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What tests of hollow parts stand between: the dispatchers' end of call-backs, and connections as a dispatcher
-//! has them. It waits for events, never for a time to pass.
+//! The dispatchers' side for tests of hollow runners and discovery: listeners for call-backs, and
+//! connections to the stand-ins. Waits for events, never for a fixed time.
 
-#![allow(dead_code, reason = "each test uses its part")]
+#![allow(dead_code, reason = "each test uses a part of this module")]
 
 use sablerun_stand_ins::hollow::profile::Profile;
 use sablerun_stand_ins::hollow::{Dispatcher, RunnerSpec, Runners, View};
@@ -13,17 +13,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Longest that an event may take before the test fails.
+/// The maximum time that a test waits for an event.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Work that never ends in a test.
+/// Work that does not end within a test.
 pub const ENDLESS_WORK_US: u64 = 3_600_000_000;
 
-/// The next of some events.
+/// Returns the next event.
 pub async fn next<T>(from: &mut UnboundedReceiver<T>) -> T {
-    tokio::time::timeout(EVENT_TIMEOUT, from.recv()).await.expect("an event in time").expect("an event")
+    tokio::time::timeout(EVENT_TIMEOUT, from.recv())
+        .await
+        .expect("no event in time")
+        .expect("the sender of events is gone")
 }
 
-/// Two regions, real and hollow dispatchers in each.
+/// Two regions, with real and hollow dispatchers in each.
 pub fn views() -> Vec<View> {
     let view = |region, source| View { region, source };
     vec![
@@ -34,10 +37,10 @@
     ]
 }
 
-/// What an [`Ear`] answers a call-back with; `None` ends the connection.
+/// The status with which a [`CallbackListener`] answers a call-back; `None` closes the connection.
 pub type Reply = Box<dyn FnMut(&Value) -> Option<u16> + Send>;
 
-/// Where a dispatcher hears call-backs.
+/// A dispatcher's listener for call-backs.
 pub struct CallbackListener {
     pub at: SocketAddr,
     pub received: UnboundedReceiver<(Message, Value)>,
@@ -73,14 +76,15 @@
         CallbackListener { at, received }
     }
 
-    /// The next call-back: id and state.
+    /// Returns the id and the state of the next call-back.
     pub async fn next(&mut self) -> (String, String) {
         let body = next(&mut self.received).await.1;
         (body["id"].as_str().unwrap().to_owned(), body["state"].as_str().unwrap().to_owned())
     }
 }
 
-/// Runners of these slots, all in region 0, between an ear for each of four dispatchers, one for each view.
+/// Runners with these slots, all in region 0, and a listener for each of four dispatchers, one for each
+/// view.
 pub struct Fixture {
     pub runners: Runners,
     pub addresses: Vec<Vec<SocketAddr>>,
@@ -119,28 +123,28 @@
         let (sender, started) = unbounded_channel();
         let record = Box::new(move |id: &str, runner: usize| sender.send((id.to_owned(), runner)).unwrap());
         let mut profile = Profile::from_settings(&settings);
-        // Patient: a busy machine must not look like a deaf dispatcher.
+        // A long timeout, so that a busy machine does not look like an unresponsive dispatcher.
         profile.callback_timeout = EVENT_TIMEOUT;
         let runners = Runners::start(&specs, &views(), &dispatchers, profile, record).await.unwrap();
         Fixture { addresses: runners.addresses(), runners, listeners, started }
     }
 
     pub fn value(&self, name: &str) -> u64 {
-        *self.runners.metrics().values().get(name).unwrap_or_else(|| panic!("no {name}")) as u64
+        *self.runners.metrics().values().get(name).unwrap_or_else(|| panic!("no metric {name}")) as u64
     }
 }
 
-/// An id of a dispatcher's request.
+/// Returns a request id of a dispatcher.
 pub fn request_id(dispatcher: usize, number: usize) -> String {
     format!("{dispatcher:04x}{number:012x}")
 }
 
-/// One side of a connection to a runner.
+/// Opens a connection to a stand-in.
 pub async fn connect(at: SocketAddr) -> Connection {
     Connection::open(at, EVENT_TIMEOUT).await.unwrap()
 }
 
-/// Writes a request, and returns how long it is.
+/// Writes a request and returns its length.
 pub async fn send_request(connection: &mut Connection, id: &str, work_us: u64) -> usize {
     let body = json!({"work_us": work_us}).to_string();
     let head = format!("POST /api?sid=7f3a HTTP/1.1\r\nHost: r\r\nX-Request-ID: {id}");
@@ -149,13 +153,13 @@
     bytes.len()
 }
 
-/// The answer on a connection.
+/// Reads the answer on a connection.
 pub async fn read_answer(connection: &mut Connection) -> Message {
-    let read = tokio::time::timeout(EVENT_TIMEOUT, connection.read()).await.expect("an answer in time");
-    read.expect("a connection that stands").expect("an answer")
+    let read = tokio::time::timeout(EVENT_TIMEOUT, connection.read()).await.expect("no answer in time");
+    read.expect("the connection failed").expect("the connection closed without an answer")
 }
 
-/// A call without a body.
+/// Makes a call without a body.
 pub async fn call(connection: &mut Connection, line: &str) -> Message {
     connection.write(&format!("{line} HTTP/1.1\r\nHost: r"), b"").await.unwrap();
     read_answer(connection).await
--- a/stand-ins/tests/discovery.rs
+++ b/stand-ins/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's list by version, and what its watches and calls are told over a link that is cut.
+//! Discovery's versioned lists, and what its watches and calls receive over a partitioned link.
 
 mod common;
 
@@ -22,30 +22,34 @@
 }
 
 #[test]
-fn a_version_is_told_by_what_came_after_it_while_that_is_known() {
+fn a_version_is_answered_with_the_changes_after_it_while_they_are_retained() {
     let mut lists = Lists::new(vec![vec![host("a", "active", 0)], vec![host("a", "active", 1)]], 2);
     assert_eq!(lists.changes_since(0, 1).unwrap(), json!({"seq": 1, "whole": false, "hosts": []}));
     assert_eq!(lists.changes_since(0, 0), None);
-    assert_eq!(lists.changes_since(0, 2), None, "a version of another service");
+    assert_eq!(lists.changes_since(0, 2), None, "a version that this service never had");
     for (name, health) in [("b", "active"), ("a", "leaving"), ("a", "left")] {
         lists.apply(&change_by_view(name, health)[..2]);
     }
     let whole: Value = serde_json::from_str(&lists.whole_list(1)).unwrap();
     assert_eq!(whole, json!({"seq": 4, "whole": true, "hosts": [host("b", "active", 1)]}));
     let change = lists.changes_since(1, 2).unwrap();
-    assert_eq!(change, json!({"seq": 4, "whole": false, "hosts": [host("a", "left", 1)]}), "as it is now");
+    assert_eq!(
+        change,
+        json!({"seq": 4, "whole": false, "hosts": [host("a", "left", 1)]}),
+        "the latest entry"
+    );
     assert_eq!(names(&lists.changes_since(0, 3).unwrap()), ["a"]);
     assert_eq!(names(&lists.changes_since(0, 4).unwrap()), [""; 0]);
-    assert_eq!(lists.changes_since(0, 1), None, "the first change is not held any more");
+    assert_eq!(lists.changes_since(0, 1), None, "the first change is no longer retained");
     assert_eq!(lists.changes_since(0, u64::MAX), None);
 
     let mut none = Lists::new(vec![vec![]], 0);
-    assert_eq!(none.changes_since(0, 1), None, "one that holds no changes tells the whole list");
+    assert_eq!(none.changes_since(0, 1), None, "without retained changes there is only the whole list");
     none.apply(&[vec![]]);
     assert_eq!(none.changes_since(0, 1), None);
 }
 
-/// Discovery for a dispatcher of each view, with runner `a`.
+/// Starts discovery for one dispatcher of each view, with runner `a`.
 async fn discovery() -> Discovery {
     let config = Config {
         views: views(),
@@ -57,7 +61,7 @@
     Discovery::start_with_config(change_by_view("a", "active"), config, &[]).await.unwrap()
 }
 
-/// A watch from a version on.
+/// Starts a watch from a version on.
 async fn watch(discovery: &Discovery, dispatcher: usize, version: u64) -> Connection {
     let mut connection = connect(discovery.addresses[dispatcher]).await;
     let line = format!("GET /discovery/hosts?stream=1&index={version} HTTP/1.1\r\nHost: d");
@@ -65,7 +69,7 @@
     connection
 }
 
-/// The next object of a watch; empty lines are passed over.
+/// Returns the next object of a watch, skipping empty lines.
 async fn next_object(connection: &mut Connection) -> Value {
     loop {
         let line = tokio::time::timeout(EVENT_TIMEOUT, connection.read_line()).await.unwrap().unwrap();
@@ -81,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn each_view_has_its_list_and_a_watch_gets_what_it_lacks() {
+async fn each_view_has_its_list_and_a_watch_gets_the_changes_it_lacks() {
     let discovery = discovery().await;
     assert_eq!(whole_list(&discovery, 3).await["hosts"], json!([host("a", "active", 3)]));
     let mut current = watch(&discovery, 0, 1).await;
@@ -104,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_link_is_silent_and_a_watch_that_still_stands_gets_what_it_missed() {
+async fn a_partitioned_link_is_silent_and_a_surviving_watch_gets_the_missed_changes() {
     let discovery = discovery().await;
     let mut local = watch(&discovery, 0, 1).await;
     let mut remote = watch(&discovery, 2, 1).await;
@@ -119,16 +123,16 @@
         discovery.update(&change_by_view(name, health));
         assert_eq!(names(&next_object(&mut local).await), [name]);
     }
-    assert_eq!(discovery.metrics().values()["hollow.changes"], 1.0, "but for its first object");
+    assert_eq!(discovery.metrics().values()["hollow.changes"], 1.0, "only the first object");
     discovery.set_partition(None);
     assert_eq!(names(&next_object(&mut remote).await), ["b"]);
     assert_eq!(names(&next_object(&mut remote).await), ["a"]);
-    assert!(pending.read().await.is_err(), "a call that never came up is reset");
+    assert!(pending.read().await.is_err(), "a call whose connection was never established is reset");
     assert_eq!(names(&whole_list(&discovery, 2).await), ["b"]);
 }
 
 #[tokio::test]
-async fn over_a_link_cut_one_way_a_call_is_answered_when_it_is_whole() {
+async fn during_a_one_way_partition_a_call_is_answered_after_the_link_is_restored() {
     let discovery = discovery().await;
     discovery.set_partition(Some(Partition::ToDispatchers));
     let mut connection = watch(&discovery, 2, 1).await;
@@ -137,6 +141,6 @@
     }
     discovery.update(&change_by_view("b", "active"));
     discovery.set_partition(None);
-    assert_eq!(names(&next_object(&mut connection).await), [""; 0], "as the list was when it asked");
+    assert_eq!(names(&next_object(&mut connection).await), [""; 0], "the changes as of the time of the call");
     assert_eq!(names(&next_object(&mut connection).await), ["b"]);
 }
--- a/stand-ins/tests/hollow.rs
+++ b/stand-ins/tests/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow runners keep the platform's protocol: taking, running, telling, giving up, probes, vanishing and links
-//! that are cut.
+//! Hollow runners follow the platform's protocol: accepting, running, call-backs, cancelling, probes,
+//! crashes and partitioned links.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 #[tokio::test]
-async fn a_request_is_taken_runs_and_is_told_by_side() {
+async fn a_request_is_accepted_runs_and_is_reported_and_counted_by_source() {
     let mut fixture = Fixture::start(&[2], settings()).await;
     let mut sent = [0; 2];
     for view in [0, 1] {
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn what_waits_and_is_given_up_never_runs() {
+async fn a_cancelled_queued_request_never_runs() {
     let mut fixture = Fixture::start(&[1], settings()).await;
     let mut connection = connect(fixture.addresses[0][0]).await;
     for number in [1, 2] {
@@ -57,7 +57,7 @@
     assert_eq!(
         (fixture.value("real.running_now"), fixture.value("real.queued_now")),
         (1, 0),
-        "what runs goes on"
+        "the running request goes on"
     );
     assert_eq!((fixture.value("real.given_up_waiting"), fixture.value("real.given_up_running")), (1, 1));
     assert_eq!(next(&mut fixture.started).await.0, request_id(0, 1));
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn a_call_back_is_repeated_until_it_is_answered() {
-    // `started` is answered at once; `done` is turned away, broken off and heard at last.
+    // `started` is answered at once; `done` is refused, then the connection is closed, then it is answered.
     let mut replies: Vec<Reply> = (0..3).map(|_| Box::new(|_: &_| Some(200u16)) as Reply).collect();
     let mut statuses = vec![Some(204), None, Some(503)];
     replies
@@ -79,14 +79,14 @@
         states.push(fixture.listeners[0].next().await.1);
     }
     assert_eq!(states, ["started", "done", "done", "done"]);
-    // The next request's call-backs: nothing more of the first came between.
+    // The call-backs of the next request follow: nothing more was sent for the first.
     send_request(&mut connection, &request_id(0, 2), 5).await;
     assert_eq!(fixture.listeners[0].next().await, (request_id(0, 2), "started".to_owned()));
     assert_eq!(fixture.value("real.callbacks_unheard"), 0);
 }
 
 #[tokio::test]
-async fn a_call_back_that_nobody_answers_is_given_up_after_ten_tries() {
+async fn an_unanswered_call_back_is_abandoned_after_ten_tries() {
     let mut replies: Vec<Reply> = (0..3).map(|_| Box::new(|_: &_| Some(200u16)) as Reply).collect();
     replies.insert(0, Box::new(|body| if body["id"] == request_id(0, 1) { Some(503) } else { Some(200) }));
     let mut settings = settings();
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn what_is_no_request_is_turned_down_by_its_form() {
+async fn malformed_requests_are_refused() {
     let fixture = Fixture::start(&[1], settings()).await;
     let mut connection = connect(fixture.addresses[0][0]).await;
     let cases = [
@@ -111,7 +111,7 @@
         ("PUT /api HTTP/1.1\r\nX-Request-ID: 0000000000000001", "{\"work_us\":1}", 404),
         ("POST /api HTTP/1.1\r\nX-Request-ID: nothing", "{\"work_us\":1}", 400),
         ("POST /api HTTP/1.1\r\nX-Request-ID: 0009000000000001", "{\"work_us\":1}", 400),
-        // Dispatcher 1's, by the address of dispatcher 0.
+        // A request of dispatcher 1 at the address of dispatcher 0.
         ("POST /api HTTP/1.1\r\nX-Request-ID: 0001000000000001", "{\"work_us\":1}", 400),
         ("POST /api HTTP/1.1\r\nX-Request-ID: 0000000000000001", "{\"work_ms\":1}", 400),
         ("POST /api HTTP/1.1\r\nX-Request-ID: 0000000000000001", "{\"work_us\":-1}", 400),
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn connections_end_as_asked_and_when_idle() {
+async fn connections_close_on_request_and_when_idle() {
     let fixture = Fixture::start(&[1], settings()).await;
     let mut connection = connect(fixture.addresses[0][0]).await;
     assert_eq!(call(&mut connection, "GET /alive").await.status, 200);
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn a_machine_that_vanishes_takes_its_work_along_and_comes_back_cold_at_its_address() {
+async fn a_crashed_runner_loses_its_work_and_restarts_cold_at_its_address() {
     let mut fixture = Fixture::start(&[1, 1], settings()).await;
     let mut connection = connect(fixture.addresses[0][0]).await;
     for number in [1, 2] {
@@ -178,7 +178,7 @@
     assert_eq!(
         fixture.listeners[0].next().await,
         (request_id(0, 3), "started".to_owned()),
-        "nothing of the lost is told"
+        "lost requests are not reported"
     );
     let done = next(&mut fixture.listeners[0].received).await.1;
     assert_eq!((&done["id"], &done["state"]), (&json!(request_id(0, 3)), &json!("done")));
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test]
-async fn a_link_cut_both_ways_is_silent_and_goes_on_when_whole() {
+async fn a_partition_in_both_directions_is_silent_until_restored() {
     let mut fixture = Fixture::start(&[4], settings()).await;
     let (local, remote) = (fixture.addresses[0][0], fixture.addresses[0][2]);
     let (mut local, mut old) = (connect(local).await, connect(remote).await);
@@ -199,7 +199,7 @@
     send_request(&mut new, &request_id(2, 2), 5).await;
     send_request(&mut dropped, &request_id(2, 3), 5).await;
     drop(dropped);
-    // The runner's own region goes on as before.
+    // The runner's own region is not affected.
     send_request(&mut local, &request_id(0, 4), 5).await;
     assert_eq!(read_answer(&mut local).await.status, 202);
     assert_eq!(fixture.listeners[0].next().await.1, "started");
@@ -210,12 +210,12 @@
     assert_eq!(next(&mut fixture.started).await.0, request_id(2, 1));
     assert_eq!(fixture.listeners[2].next().await, (request_id(2, 1), "started".to_owned()));
     assert_eq!(fixture.listeners[2].next().await, (request_id(2, 1), "done".to_owned()));
-    assert!(new.read().await.is_err(), "what never came up is reset");
-    assert_eq!(fixture.value("real.requests"), 2, "what was given up in the meantime has not begun");
+    assert!(new.read().await.is_err(), "a connection that was never established is reset");
+    assert_eq!(fixture.value("real.requests"), 2, "a request abandoned during the partition has not started");
 }
 
 #[tokio::test]
-async fn over_a_link_cut_one_way_requests_run_and_nothing_comes_back() {
+async fn during_a_one_way_partition_requests_run_without_answers() {
     let mut fixture = Fixture::start(&[1], settings()).await;
     let mut connection = connect(fixture.addresses[0][3]).await;
     let mut dropped = connect(fixture.addresses[0][3]).await;
@@ -226,7 +226,7 @@
     while fixture.value("hollow.queued_now") == 0 {
         tokio::task::yield_now().await;
     }
-    // Its end before the 202 gives it up.
+    // Closing the connection before the 202 cancels the request.
     drop(dropped);
     while fixture.value("hollow.given_up_waiting") == 0 {
         tokio::task::yield_now().await;
