--- a/stand-ins/src/scripted/faktory.rs
+++ b/stand-ins/src/scripted/faktory.rs
@@ -65,7 +65,7 @@
 }
 
 /// Starts a worker with this many connections, each of which fetches until it is closed. It treats jobs as
-/// a [`Runner`] does; a job that hangs is FAILed by the test.
+/// a [`Runner`](super::Runner) does; a job that hangs is FAILed by the test.
 pub fn worker(address: SocketAddr, wid: &str, connections: usize, events: &Events) {
     for _ in 0..connections {
         let (mut connection, events, wid) =
