--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -73,7 +73,7 @@
     /// The line to write, by view.
     Lines(Arc<Vec<String>>),
     /// Closes all watches.
-    CloseWatches,
+    BreakWatches,
 }
 
 /// The discovery service.
@@ -184,12 +184,12 @@
     pub fn restart(&self, hosts: Vec<Vec<Value>>) {
         let mut state = self.state.lock().expect("no holder panics");
         state.lists = Lists::new(hosts, self.config.retained_changes);
-        let _ = self.changes.send(Change::CloseWatches);
+        let _ = self.changes.send(Change::BreakWatches);
     }
 
     /// Closes every watch.
     pub fn break_watches(&self) {
-        let _ = self.changes.send(Change::CloseWatches);
+        let _ = self.changes.send(Change::BreakWatches);
     }
 
     /// Partitions the service, which is in region 0, from the dispatchers in other regions; `None` restores
--- a/stand-ins/src/discovery/calls.rs
+++ b/stand-ins/src/discovery/calls.rs
@@ -53,8 +53,7 @@
         self.discovery.link.wait_restored(self.view.region, DISCOVERY_REGION).await;
     }
 
-    /// Waits until the link can pass data in both directions. Returns whether the connection is still open
-    /// then.
+    /// Waits until the link is not partitioned. Returns whether the connection is still open then.
     async fn wait_until_passable(&mut self) -> bool {
         if self.partition().is_none() {
             return true;
@@ -79,8 +78,7 @@
             let mut resumed = self.discovery.resumed.subscribe();
             let (changes, reply, (first_object, counter)) = {
                 let mut state = self.discovery.state.lock().expect("no holder panics");
-                // Subscribes under the same lock that reads the list, so that no change is missed or sent
-                // twice.
+                // Subscribes under the lock that reads the list, so that no change is missed or sent twice.
                 let changes = self.discovery.changes.subscribe();
                 let reply = state.replies.pop_front();
                 let since = requested_version(&request.target).filter(|_| is_watch);
@@ -158,7 +156,7 @@
             let (line, counter) = match &change {
                 Err(_) => ("", Counter::EmptyLines),
                 Ok(Ok(Change::Lines(lines))) => (lines[self.view_index].as_str(), Counter::Changes),
-                Ok(Ok(Change::CloseWatches) | Err(_)) => return Ok(()),
+                Ok(Ok(Change::BreakWatches) | Err(_)) => return Ok(()),
             };
             self.discovery.metrics.add(self.view.source, counter, 1);
             self.write_line(line, counter).await?;
--- a/stand-ins/src/discovery/lists.rs
+++ b/stand-ins/src/discovery/lists.rs
@@ -1,5 +1,4 @@
-//! The versioned runner list for each view, and the changes kept for calls that ask for the changes since a
-//! version.
+//! The versioned runner list of each view, and the latest changes for calls that ask from a version on.
 
 use serde_json::{Value, json};
 use std::collections::VecDeque;
--- a/stand-ins/src/hall/dedup.rs
+++ b/stand-ins/src/hall/dedup.rs
@@ -1,5 +1,4 @@
-//! Deduplication of keys, shared by the nodes of a hall or of all halls: which job claimed a key, and its
-//! outcome.
+//! Deduplication of keys, shared by the nodes of a hall or of all halls.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -28,8 +27,7 @@
 }
 
 impl RepeatFilter {
-    /// Claims a key. The first claim within the window gets it; later ones are repeats, whose jobs are not
-    /// executed.
+    /// Claims a key. Claims after the first within the window are repeats, whose jobs are not executed.
     pub(super) fn claim(&self, key: &Key, window: Duration) -> Claim {
         let mut claims = self.0.lock().expect("no holder panics");
         if let Some((claimed_at, state)) = claims.get(key)
--- a/stand-ins/src/hall/job.rs
+++ b/stand-ins/src/hall/job.rs
@@ -12,12 +12,12 @@
 use tokio::sync::Notify;
 
 impl Node {
-    pub(super) async fn job(self: Arc<Self>, dispatcher: usize, request: Message, fault: Fault) {
+    pub(super) async fn run_job(self: Arc<Self>, dispatcher: usize, request: Message, fault: Fault) {
         let id = request.header("x-request-id").to_owned();
         let class = &self.classes[request.header("x-priority-class")];
         let cancelled = Arc::new(Notify::new());
         self.jobs.lock().expect("no holder panics").insert(id.clone(), cancelled.clone());
-        let outcome = self.run(dispatcher, &id, class, &request, fault, &cancelled).await;
+        let outcome = self.execute(dispatcher, &id, class, &request, fault, &cancelled).await;
         self.jobs.lock().expect("no holder panics").remove(&id);
         if let Some((state, result)) = outcome.filter(|_| fault != Fault::Silent) {
             self.call_back(dispatcher, &id, state, &result).await;
@@ -26,7 +26,7 @@
 
     /// Runs a job, or waits for the first job of its key if it is a repeat. Returns the state and the
     /// result to report, or `None` if the job was cancelled before it started.
-    async fn run(
+    async fn execute(
         &self,
         dispatcher: usize,
         id: &str,
@@ -59,7 +59,7 @@
                                 .wait_for(|state| !matches!(state, JobState::Running))
                                 .await
                                 .ok()
-                                .map(|f| f.clone())
+                                .map(|state| state.clone())
                         };
                         tokio::select! {
                             state = ended => match state {
--- a/stand-ins/src/hall/node.rs
+++ b/stand-ins/src/hall/node.rs
@@ -80,9 +80,8 @@
                         connection.write(head, b"").await?;
                         continue;
                     }
-                    // The job claims its key before its first await, so that a later repeat finds the key
-                    // claimed.
-                    tokio::spawn(self.clone().job(dispatcher, request, fault));
+                    // The job claims its key before its first await: a repeat behind it finds it claimed.
+                    tokio::spawn(self.clone().run_job(dispatcher, request, fault));
                     if fault == Fault::Reset {
                         return Ok(());
                     }
--- a/stand-ins/src/hollow/slots.rs
+++ b/stand-ins/src/hollow/slots.rs
@@ -20,14 +20,14 @@
         if age_us >= self.duration_us || self.initial_speed >= 1.0 {
             return work_us;
         }
-        let from = self.initial_speed.max(0.0);
-        let (work, growth) = (work_us as f64, (1.0 - from) / self.duration_us as f64);
-        let speed = from + growth * age_us as f64;
-        let remaining = (self.duration_us - age_us) as f64;
-        let done = speed * remaining + growth * remaining * remaining / 2.0;
-        let time = match work > done {
-            true => remaining + (work - done),
-            false => ((speed * speed + 2.0 * growth * work).sqrt() - speed) / growth,
+        let initial = self.initial_speed.max(0.0);
+        let (work, growth) = (work_us as f64, (1.0 - initial) / self.duration_us as f64);
+        let current_speed = initial + growth * age_us as f64;
+        let ramp_time = (self.duration_us - age_us) as f64;
+        let ramp_work = current_speed * ramp_time + growth * ramp_time * ramp_time / 2.0;
+        let time = match work > ramp_work {
+            true => ramp_time + (work - ramp_work),
+            false => ((current_speed * current_speed + 2.0 * growth * work).sqrt() - current_speed) / growth,
         };
         time.ceil() as u64
     }
@@ -47,7 +47,7 @@
 /// A request that has finished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// Whether it was not cancelled.
+    /// Whether it was not cancelled, so that its end is reported.
     pub wanted: bool,
     /// The request that started in the freed slot.
     pub next_started: Option<StartedJob>,
--- a/stand-ins/src/scripted/program.rs
+++ b/stand-ins/src/scripted/program.rs
@@ -89,8 +89,7 @@
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
         let mut command = Command::new(program_path().unwrap());
         command.env("NODE_CONFIG", folder.join("config.json")).env("RUST_LOG", "debug");
-        // Private to the process, as on the platform: only a successor may read what a process leaves
-        // there.
+        // Private, as on the platform: what a process leaves there is only for its successor.
         command.env("TMPDIR", &folder);
         command.stderr(Stdio::piped()).stdout(Stdio::null()).stdin(Stdio::null());
         if let Some(text) = gateway {
--- a/stand-ins/tests/common/mod.rs
+++ b/stand-ins/tests/common/mod.rs
@@ -42,14 +42,14 @@
 
 /// A dispatcher's listener for call-backs.
 pub struct CallbackListener {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub received: UnboundedReceiver<(Message, Value)>,
 }
 
 impl CallbackListener {
     pub async fn open(mut reply: Reply) -> CallbackListener {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let (calls, mut called) = unbounded_channel::<(Message, UnboundedSender<Option<u16>>)>();
         let (sender, received) = unbounded_channel();
         tokio::spawn(async move {
@@ -73,7 +73,7 @@
                 let _ = sender.send((message, body));
             }
         });
-        CallbackListener { at, received }
+        CallbackListener { address, received }
     }
 
     /// Returns the id and the state of the next call-back.
@@ -118,7 +118,7 @@
         let dispatchers: Vec<_> = listeners
             .iter()
             .enumerate()
-            .map(|(view, listener)| Dispatcher { callback_address: listener.at, view })
+            .map(|(view, listener)| Dispatcher { callback_address: listener.address, view })
             .collect();
         let (sender, started) = unbounded_channel();
         let record = Box::new(move |id: &str, runner: usize| sender.send((id.to_owned(), runner)).unwrap());
@@ -140,8 +140,8 @@
 }
 
 /// Opens a connection to a stand-in.
-pub async fn connect(at: SocketAddr) -> Connection {
-    Connection::open(at, EVENT_TIMEOUT).await.unwrap()
+pub async fn connect(address: SocketAddr) -> Connection {
+    Connection::open(address, EVENT_TIMEOUT).await.unwrap()
 }
 
 /// Writes a request and returns its length.
--- a/stand-ins/tests/hollow.rs
+++ b/stand-ins/tests/hollow.rs
@@ -27,10 +27,10 @@
         assert_eq!(fields, ["errors_per_s", "outstanding", "recent_ms", "x0"]);
         assert_eq!((&done["load"]["outstanding"], &done["load"]["x0"]), (&json!(0), &json!(2)));
     }
-    for (side, view) in [("real", 0), ("hollow", 1)] {
-        let value = |name: &str| fixture.value(&format!("{side}.{name}"));
+    for (source, view) in [("real", 0), ("hollow", 1)] {
+        let value = |name: &str| fixture.value(&format!("{source}.{name}"));
         for name in ["requests", "answers_202", "started", "ended", "connections_accepted", "running_most"] {
-            assert_eq!(value(name), 1, "{side}.{name}");
+            assert_eq!(value(name), 1, "{source}.{name}");
         }
         assert_eq!((value("running_now"), value("queued_now"), value("callbacks")), (0, 0, 2));
         assert_eq!(value("bytes_in.requests"), sent[view] as u64);
