--- a/ledger/src/job.rs
+++ b/ledger/src/job.rs
@@ -1,56 +1,56 @@
-//! A job as it is kept: its state, the change that is written, and the bytes it is written as. It owns the
-//! record's format. A record says its version first; a newer one is refused, an older one is carried over.
+//! A durable job, its state, and the encoding of its record on disk. A record starts with its format version:
+//! older versions are converted, newer ones are rejected.
 
 use bytes::Bytes;
 use sablerun::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version that this program writes.
+/// The record format version that this program writes.
 pub const FORMAT: u16 = 2;
 
-/// A job's number, in the order of acceptance; never used twice.
+/// The id of a job; increases in the order of acceptance and is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
-/// A lease's fencing token: larger than any before it of the same job.
+/// The fencing token of a lease; larger than those of all earlier leases of the same job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
-    /// It waits: not before `at`, for its schedule or after a failure.
+    /// Waiting to be leased: scheduled, queued, or delayed after a failed attempt.
     Waiting {
-        /// From then on it may be leased.
+        /// The earliest time of the next lease.
         due_at: Time,
     },
-    /// A worker has it under the job's epoch.
+    /// Leased to a worker under the current epoch.
     Leased {
-        /// Without a beat the lease ends then.
+        /// When the lease expires without another heartbeat.
         expires_at: Time,
     },
-    /// Done, with this result.
+    /// Completed by a worker.
     Completed {
-        /// When.
+        /// When the job reached this state.
         finished_at: Time,
-        /// What the worker made.
+        /// The worker's result.
         result: Bytes,
     },
-    /// Out of tries.
+    /// All attempts failed.
     Dead {
-        /// When.
+        /// When the job reached this state.
         finished_at: Time,
     },
-    /// Wanted no more.
+    /// Cancelled by a client or an operator.
     Cancelled {
-        /// When.
+        /// When the job reached this state.
         finished_at: Time,
     },
 }
 
 impl State {
-    /// When it came to its end, if it has.
+    /// Returns when the job reached a final state, or `None` if it has not.
     pub fn finished_at(&self) -> Option<Time> {
         match self {
             State::Waiting { .. } | State::Leased { .. } => None,
@@ -64,47 +64,48 @@
 /// A durable job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its number.
+    /// The id of the job.
     pub id: JobId,
-    /// Whose.
+    /// The member that owns the job.
     pub member: u32,
-    /// Its class.
+    /// The class of the job.
     pub class: u32,
-    /// The client's key.
+    /// The client's idempotency key.
     pub key: Option<Bytes>,
-    /// What is to be run.
+    /// The payload for the worker.
     pub body: Bytes,
-    /// When it was taken.
+    /// When the job was accepted.
     pub accepted_at: Time,
-    /// How long a worker may be silent.
+    /// How long the worker may go without a heartbeat.
     pub lease: Span,
-    /// Tries it may have.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Tries it has had: leases that did not end by being returned unrun.
+    /// Attempts so far. A lease that was returned without having run, or that expired after a restart without a new
+    /// heartbeat, does not count.
     pub attempts: u32,
-    /// The epoch of its last lease; zero before the first.
+    /// The epoch of the last lease; zero before the first.
     pub epoch: Epoch,
-    /// What the last failure said.
+    /// The error of the last failed attempt.
     pub last_error: Option<String>,
-    /// Where it stands.
+    /// The current state.
     pub state: State,
 }
 
-/// A change to be made durable; those of a step together or not at all.
+/// A change to the stored jobs. All changes of a step are written atomically.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The job as it stands now.
+    /// Inserts or replaces a job.
     Put(Job),
-    /// The job is forgotten.
+    /// Deletes a job.
     Delete(JobId),
 }
 
-/// Why bytes are no job.
+/// Why a record could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// Of a version that this program does not know.
+    /// The record has a format version that this program does not support.
     Version(u16),
-    /// They can't be read.
+    /// The record is malformed.
     Damaged(String),
 }
 
@@ -119,18 +120,19 @@
 
 impl std::error::Error for RecordError {}
 
-/// The state's number and its time and bytes, as they are written.
-type Written = (u8, u64, Vec<u8>);
+/// The state of a job as stored: state number, time and result.
+type StoredState = (u8, u64, Vec<u8>);
 
-/// The second version: the first had no `error`.
+/// A record of format version 2, which added `error`.
 #[derive(Serialize, Deserialize)]
-struct Second {
-    first: First,
+struct RecordV2 {
+    first: RecordV1,
     error: Option<String>,
 }
 
+/// A record of format version 1.
 #[derive(Serialize, Deserialize)]
-struct First {
+struct RecordV1 {
     member: u32,
     class: u32,
     key: Option<Vec<u8>>,
@@ -140,11 +142,11 @@
     most: u32,
     tries: u32,
     epoch: u64,
-    state: Written,
+    state: StoredState,
 }
 
 impl Job {
-    /// The job as bytes, without its number, which the store keeps beside them.
+    /// Encodes the job without its id, which the store keeps as the key of the record.
     pub fn encode(&self) -> Vec<u8> {
         let state = match &self.state {
             State::Waiting { due_at: at } => (0, at.0, Vec::new()),
@@ -153,7 +155,7 @@
             State::Dead { finished_at: at } => (3, at.0, Vec::new()),
             State::Cancelled { finished_at: at } => (4, at.0, Vec::new()),
         };
-        let first = First {
+        let first = RecordV1 {
             member: self.member,
             class: self.class,
             key: self.key.as_ref().map(|key| key.to_vec()),
@@ -166,23 +168,24 @@
             state,
         };
         let mut bytes = FORMAT.to_le_bytes().to_vec();
-        let payload = postcard::to_stdvec(&Second { first, error: self.last_error.clone() });
+        let payload = postcard::to_stdvec(&RecordV2 { first, error: self.last_error.clone() });
         bytes.extend(payload.expect("plain data into memory"));
         bytes
     }
 
-    /// The job that these bytes are.
+    /// Decodes the record of a job.
     ///
     /// # Errors
     ///
-    /// Says why they are none.
+    /// The format version is not supported, or the record is malformed.
     pub fn decode(id: JobId, bytes: &[u8]) -> Result<Job, RecordError> {
         let damaged = |e: postcard::Error| RecordError::Damaged(e.to_string());
-        let head = bytes.first_chunk::<2>().ok_or_else(|| RecordError::Damaged("no version".to_owned()))?;
+        let version =
+            bytes.first_chunk::<2>().ok_or_else(|| RecordError::Damaged("no version".to_owned()))?;
         let payload = &bytes[2..];
-        let Second { first, error } = match u16::from_le_bytes(*head) {
-            1 => Second { first: whole(payload).map_err(damaged)?, error: None },
-            2 => whole(payload).map_err(damaged)?,
+        let RecordV2 { first, error } = match u16::from_le_bytes(*version) {
+            1 => RecordV2 { first: decode_exact(payload).map_err(damaged)?, error: None },
+            2 => decode_exact(payload).map_err(damaged)?,
             version => return Err(RecordError::Version(version)),
         };
         let (kind, time, result) = first.state;
@@ -212,15 +215,15 @@
     }
 }
 
-/// All of these bytes as one value, and nothing behind it.
-fn whole<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, postcard::Error> {
+/// Decodes one value and rejects trailing bytes.
+fn decode_exact<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, postcard::Error> {
     match postcard::take_from_bytes(bytes)? {
         (value, []) => Ok(value),
         _ => Err(postcard::Error::DeserializeBadEncoding),
     }
 }
 
-/// A store that an earlier version wrote is carried over; one of a later version is refused.
+/// Records of format version 1 must stay readable after an upgrade; records of a later version must be rejected.
 #[test]
 fn records_of_the_first_version_are_read_and_of_the_next_refused() {
     let job = Job {
@@ -237,7 +240,7 @@
         last_error: None,
         state: State::Completed { finished_at: Time(8), result: Bytes::from_static(b"made") },
     };
-    let first = First {
+    let first = RecordV1 {
         member: 1,
         class: 2,
         key: None,
--- a/ledger/src/ledger.rs
+++ b/ledger/src/ledger.rs
@@ -1,10 +1,9 @@
-//! The ledger itself: jobs in memory, the order in which they are leased, and the reducer that changes them.
-//! It owns every transition of a job's state and must never let an effect out before the change that it
-//! rests on is in the same step.
+//! The in-memory state machine of durable jobs: every state transition, the order in which jobs are leased, and
+//! the timers. An effect is always returned in the same step as the change that must be durable before it.
 //!
-//! Jobs that may run stand in one line for each member and class, and the lines take turns: a member that
-//! fills the queue waits behind itself. Times (schedules, backoff, leases, forgetting) stand in one ordered
-//! set; an entry whose job has moved on is passed over when it is due.
+//! Runnable jobs wait in one FIFO queue per member and class. The queues are served round-robin, so a member with
+//! a long backlog delays only its own jobs. All timers (schedules, backoff, lease expiry, end of retention) are in
+//! one ordered set; a timer whose job no longer exists is ignored.
 
 use crate::{Change, Counts, Effect, Epoch, Input, Job, JobId, LedgerConfig, Refusal, State, Submission};
 use bytes::Bytes;
@@ -12,24 +11,24 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
 
-/// What a step asks for: changes first, all or none; then, once they are durable, the effects in this
-/// order.
+/// The result of one input. The caller writes all changes atomically and, once they are durable, applies the
+/// effects in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
-    /// To be made durable together.
+    /// Changes to write in one transaction.
     pub changes: Vec<Change>,
-    /// To be done afterwards.
+    /// Effects to apply after the changes are durable.
     pub effects: Vec<Effect>,
 }
 
-/// Why stored jobs are no ledger.
+/// Why a set of stored jobs was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadError {
-    /// Two jobs under one key.
+    /// Two jobs have the same client key.
     DuplicateKey(JobId, JobId),
-    /// A job of a number that was used already.
+    /// Two jobs have the same id.
     DuplicateId(JobId),
-    /// A job in a state that its other fields deny.
+    /// The state of a job contradicts its other fields.
     Inconsistent(JobId, &'static str),
 }
 
@@ -45,72 +44,75 @@
 
 impl std::error::Error for LoadError {}
 
-/// What a line's jobs share.
-type Line = (u32, u32);
-/// A client's key: member, class, key.
+/// The member and class that the jobs of a queue share.
+type QueueId = (u32, u32);
+/// A client key, scoped by member and class.
 type Key = (u32, u32, Bytes);
 
-/// The ledger.
+/// All jobs, with their queues, timers and leases.
 pub struct Ledger {
-    rules: LedgerConfig,
-    random: fastrand::Rng,
-    next: u64,
+    config: LedgerConfig,
+    rng: fastrand::Rng,
+    next_id: u64,
     jobs: HashMap<JobId, Job>,
-    keys: HashMap<Key, JobId>,
-    /// Jobs that may run, by line, and the lines' turns.
-    lines: BTreeMap<Line, VecDeque<JobId>>,
-    turns: VecDeque<Line>,
-    /// What is due when.
-    times: BTreeSet<(Time, JobId)>,
+    ids_by_key: HashMap<Key, JobId>,
+    /// Runnable jobs by queue. A job that has left the waiting state is skipped when it reaches the front.
+    queues: BTreeMap<QueueId, VecDeque<JobId>>,
+    /// Non-empty queues in round-robin order.
+    turn_order: VecDeque<QueueId>,
+    timers: BTreeSet<(Time, JobId)>,
+    /// The number of leased jobs.
     leased: usize,
-    /// Unsettled jobs by member, and in all.
-    open: HashMap<u32, usize>,
-    all_open: usize,
-    /// Jobs whose lease was lost at a restart, and the leases that they may be given.
-    lost: BTreeSet<JobId>,
-    allowance: (f64, Time),
+    /// Unfinished jobs of each member.
+    open_by_member: HashMap<u32, usize>,
+    /// Unfinished jobs of all members.
+    open_total: usize,
+    /// Jobs that were leased when the previous process ended and have sent no heartbeat since.
+    recovering: BTreeSet<JobId>,
+    /// Token bucket for leases of recovering jobs: tokens and the time of the last refill.
+    recovery_bucket: (f64, Time),
     counts: Counts,
 }
 
 impl Ledger {
-    /// An empty ledger.
-    pub fn new(rules: LedgerConfig, seed: u64) -> Ledger {
+    /// Returns an empty ledger. `seed` drives the jitter of retries.
+    pub fn new(config: LedgerConfig, seed: u64) -> Ledger {
         Ledger {
-            rules,
-            random: fastrand::Rng::with_seed(seed),
-            next: 1,
+            config,
+            rng: fastrand::Rng::with_seed(seed),
+            next_id: 1,
             jobs: HashMap::new(),
-            keys: HashMap::new(),
-            lines: BTreeMap::new(),
-            turns: VecDeque::new(),
-            times: BTreeSet::new(),
+            ids_by_key: HashMap::new(),
+            queues: BTreeMap::new(),
+            turn_order: VecDeque::new(),
+            timers: BTreeSet::new(),
             leased: 0,
-            open: HashMap::new(),
-            all_open: 0,
-            lost: BTreeSet::new(),
-            allowance: (1.0, Time(0)),
+            open_by_member: HashMap::new(),
+            open_total: 0,
+            recovering: BTreeSet::new(),
+            recovery_bucket: (1.0, Time(0)),
             counts: Counts::default(),
         }
     }
 
-    /// A ledger that goes on from stored jobs; no number below `next` is given again, though its job may be
-    /// long forgotten: a worker may still speak of it. A lease that was held goes on to hold, for its length from
-    /// now at the most: its worker may live, and whoever kept it going is gone with the process before. If
-    /// no beat comes the job is run again, at a bounded rate.
+    /// Restores a ledger from stored jobs. No id below `next_id` is assigned again, even if its job has been
+    /// deleted, because a worker may still report on it. A lease that was held stays valid for at most its length
+    /// from now: its worker may still be running, but the process that received its heartbeats is gone. Without
+    /// a new heartbeat the job is run again, at a bounded rate.
     ///
     /// # Errors
     ///
-    /// Says which jobs can't all be true; none is used then.
+    /// The stored jobs contradict each other or themselves. None is loaded.
     pub fn load(
-        rules: LedgerConfig,
+        config: LedgerConfig,
         seed: u64,
         now: Time,
-        next: u64,
+        next_id: u64,
         jobs: Vec<Job>,
     ) -> Result<Ledger, LoadError> {
-        let mut ledger = Ledger::new(rules, seed);
-        ledger.allowance.1 = now;
-        ledger.next = next.max(1);
+        let mut ledger = Ledger::new(config, seed);
+        ledger.recovery_bucket.1 = now;
+        ledger.next_id = next_id.max(1);
         let mut jobs = jobs;
         jobs.sort_by_key(|job| job.id);
         for mut job in jobs {
@@ -118,33 +120,33 @@
             if matches!(job.state, State::Leased { .. }) && job.epoch == Epoch(0) {
                 return Err(LoadError::Inconsistent(id, "leased, but never given an epoch"));
             }
-            // Clocks jump between two processes: nothing lasts longer than it would from now on.
+            // The clock may jump between two processes: nothing lasts longer than its full length from now.
             match &mut job.state {
-                State::Leased { expires_at: until } => {
-                    *until = (*until).min(now + job.lease);
-                    ledger.lost.insert(id);
+                State::Leased { expires_at } => {
+                    *expires_at = (*expires_at).min(now + job.lease);
+                    ledger.recovering.insert(id);
                 }
-                State::Completed { finished_at: at, .. }
-                | State::Dead { finished_at: at }
-                | State::Cancelled { finished_at: at } => *at = (*at).min(now),
+                State::Completed { finished_at, .. }
+                | State::Dead { finished_at }
+                | State::Cancelled { finished_at } => *finished_at = (*finished_at).min(now),
                 State::Waiting { .. } => {}
             }
-            ledger.next = ledger.next.max(id.0 + 1);
+            ledger.next_id = ledger.next_id.max(id.0 + 1);
             if let Some(key) = key_of(&job)
-                && let Some(other) = ledger.keys.insert(key, id)
+                && let Some(other) = ledger.ids_by_key.insert(key, id)
             {
                 return Err(LoadError::DuplicateKey(other, id));
             }
             if job.state.finished_at().is_none() {
-                *ledger.open.entry(job.member).or_default() += 1;
-                ledger.all_open += 1;
+                *ledger.open_by_member.entry(job.member).or_default() += 1;
+                ledger.open_total += 1;
             }
             ledger.leased += usize::from(matches!(job.state, State::Leased { .. }));
-            let time = ledger.time(&job.state);
-            if matches!(job.state, State::Waiting { .. }) && time <= now {
-                ledger.line_up((job.member, job.class), id);
+            let timer = ledger.timer_at(&job.state);
+            if matches!(job.state, State::Waiting { .. }) && timer <= now {
+                ledger.enqueue((job.member, job.class), id);
             } else {
-                ledger.times.insert((time, id));
+                ledger.timers.insert((timer, id));
             }
             if ledger.jobs.insert(id, job).is_some() {
                 return Err(LoadError::DuplicateId(id));
@@ -153,85 +155,85 @@
         Ok(ledger)
     }
 
-    /// A job, while it is remembered.
+    /// Returns a job, or `None` if it is unknown or past its retention.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// The job under a client's key.
+    /// Returns the id of the job that was submitted with a client key.
     pub fn id_by_key(&self, member: u32, class: u32, key: &Bytes) -> Option<JobId> {
-        self.keys.get(&(member, class, key.clone())).copied()
+        self.ids_by_key.get(&(member, class, key.clone())).copied()
     }
 
-    /// All jobs, in no order.
+    /// Returns all jobs in arbitrary order.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// Jobs leased now.
+    /// The number of jobs that are leased now.
     pub fn lease_count(&self) -> usize {
         self.leased
     }
 
-    /// What has been counted so far.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// When [`Input::Due`] is next wanted.
+    /// Returns when [`Input::Due`] must be given next, if nothing else happens before.
     pub fn next_due(&self, now: Time) -> Option<Time> {
-        let held = self.turns.front().is_some() && self.leased < self.rules.max_leases;
-        // Only jobs that wait for the allowance of recovery stand in line while there are leases to give.
-        let recovery = held.then(|| now + Span::from_secs(1.0 / self.rules.recoveries_per_s.max(1e-3)));
-        let time = self.times.first().map(|(at, _)| *at);
-        [recovery, time].into_iter().flatten().min()
+        let throttled = self.turn_order.front().is_some() && self.leased < self.config.max_leases;
+        // While leases are free, only jobs that wait for a recovery token remain queued.
+        let recovery = throttled.then(|| now + Span::from_secs(1.0 / self.config.recoveries_per_s.max(1e-3)));
+        let timer = self.timers.first().map(|(at, _)| *at);
+        [recovery, timer].into_iter().flatten().min()
     }
 
-    /// Takes one input and says what is to be written, and then done.
+    /// Processes one input; returns the changes to write and the effects to apply afterwards.
     pub fn step(&mut self, now: Time, input: Input) -> Step {
         let mut step = Step::default();
         match input {
             Input::Submit(submission) => self.submit(now, submission, &mut step),
             Input::Beat(id, epoch) => {
-                if let Some(job) = self.holder(id, epoch, &mut step) {
-                    // Not written: after a restart a lease holds for its length anyway.
+                if let Some(job) = self.leased_job(id, epoch, &mut step) {
+                    // Not written to disk: after a restart a lease is valid for its full length anyway.
                     let expires_at = now + job.lease;
-                    self.lost.remove(&id);
-                    self.retime(id, State::Leased { expires_at });
+                    self.recovering.remove(&id);
+                    self.set_state(id, State::Leased { expires_at });
                 }
             }
             Input::Completed(id, epoch, result) => {
-                if self.holder(id, epoch, &mut step).is_some() {
+                if self.leased_job(id, epoch, &mut step).is_some() {
                     self.counts.completed += 1;
-                    self.settle(id, State::Completed { finished_at: now, result }, &mut step);
+                    self.finish(id, State::Completed { finished_at: now, result }, &mut step);
                 }
             }
             Input::Failed(id, epoch, error) => {
-                if self.holder(id, epoch, &mut step).is_some() {
+                if self.leased_job(id, epoch, &mut step).is_some() {
                     self.counts.failed += 1;
-                    self.failed(now, id, error, &mut step);
+                    self.attempt_failed(now, id, error, &mut step);
                 }
             }
             Input::Returned(id, epoch, wait) => {
-                if let Some(job) = self.holder(id, epoch, &mut step) {
-                    let tries = job.attempts.saturating_sub(1);
-                    self.jobs.entry(id).and_modify(|job| job.attempts = tries);
-                    self.wait(now, id, now + wait, &mut step);
+                if let Some(job) = self.leased_job(id, epoch, &mut step) {
+                    let attempts = job.attempts.saturating_sub(1);
+                    self.jobs.entry(id).and_modify(|job| job.attempts = attempts);
+                    self.wait_until(now, id, now + wait, &mut step);
                 }
             }
             Input::Cancel(id) => self.cancel(now, id, &mut step),
-            Input::RetryDead(id) => self.revive(now, id, &mut step),
+            Input::RetryDead(id) => self.retry_dead(now, id, &mut step),
             Input::Due => {}
         }
-        self.run_times(now, &mut step);
-        self.lease(now, &mut step);
+        self.fire_timers(now, &mut step);
+        self.grant_leases(now, &mut step);
         step
     }
 
     fn submit(&mut self, now: Time, submission: Submission, step: &mut Step) {
         let ticket = submission.ticket;
         let key = submission.key.clone().map(|key| (submission.member, submission.class, key));
-        if let Some(&id) = key.as_ref().and_then(|key| self.keys.get(key)) {
+        if let Some(&id) = key.as_ref().and_then(|key| self.ids_by_key.get(key)) {
             if self.jobs.get(&id).is_some_and(|job| job.body == submission.body) {
                 self.counts.duplicates += 1;
                 step.effects.push(Effect::Duplicate(ticket, id));
@@ -246,58 +248,58 @@
             step.effects.push(Effect::Refused(ticket, refusal));
             return;
         }
-        let id = JobId(self.next);
-        self.next += 1;
-        let Submission { member, class, key: own, body, not_before: at, lease, max_attempts: tries, .. } =
+        let id = JobId(self.next_id);
+        self.next_id += 1;
+        let Submission { member, class, key: client_key, body, not_before, lease, max_attempts, .. } =
             submission;
-        let state = State::Waiting { due_at: at.unwrap_or(now).max(now) };
-        let (accepted, epoch, error) = (now, Epoch(0), None);
+        let state = State::Waiting { due_at: not_before.unwrap_or(now).max(now) };
+        let (accepted_at, epoch, last_error) = (now, Epoch(0), None);
         let job = Job {
             id,
             member,
             class,
-            key: own,
+            key: client_key,
             body,
-            accepted_at: accepted,
+            accepted_at,
             lease,
-            max_attempts: tries,
+            max_attempts,
             attempts: 0,
             epoch,
-            last_error: error,
+            last_error,
             state,
         };
         if let Some(key) = key {
-            self.keys.insert(key, id);
+            self.ids_by_key.insert(key, id);
         }
         self.counts.accepted += 1;
-        *self.open.entry(member).or_default() += 1;
-        self.all_open += 1;
+        *self.open_by_member.entry(member).or_default() += 1;
+        self.open_total += 1;
         step.changes.push(Change::Put(job.clone()));
         step.effects.push(Effect::Accepted(ticket, id));
-        self.times.insert((self.time(&job.state), id));
+        self.timers.insert((self.timer_at(&job.state), id));
         self.jobs.insert(id, job);
     }
 
     fn refusal(&self, submission: &Submission) -> Option<Refusal> {
-        let [least, most] = self.rules.lease_range;
-        let open = self.open.get(&submission.member).copied().unwrap_or(0);
-        if submission.body.len() > self.rules.max_body_bytes {
-            Some(Refusal::TooLarge(self.rules.max_body_bytes))
+        let [min_lease, max_lease] = self.config.lease_range;
+        let open = self.open_by_member.get(&submission.member).copied().unwrap_or(0);
+        if submission.body.len() > self.config.max_body_bytes {
+            Some(Refusal::TooLarge(self.config.max_body_bytes))
         } else if submission.max_attempts == 0 {
             Some(Refusal::Invalid("tries: at least one"))
-        } else if submission.lease < least || submission.lease > most {
+        } else if submission.lease < min_lease || submission.lease > max_lease {
             Some(Refusal::Invalid("lease: too short or too long"))
-        } else if open >= self.rules.max_jobs_per_member {
-            Some(Refusal::MemberFull(self.rules.hold_off))
-        } else if self.all_open >= self.rules.max_jobs {
-            Some(Refusal::Full(self.rules.hold_off))
+        } else if open >= self.config.max_jobs_per_member {
+            Some(Refusal::MemberFull(self.config.hold_off))
+        } else if self.open_total >= self.config.max_jobs {
+            Some(Refusal::Full(self.config.hold_off))
         } else {
             None
         }
     }
 
-    /// The job, if the lease of this epoch is the one that holds; else the word is stale.
-    fn holder(&mut self, id: JobId, epoch: Epoch, step: &mut Step) -> Option<&Job> {
+    /// Returns the job if it is leased under this epoch; otherwise reports the message as stale.
+    fn leased_job(&mut self, id: JobId, epoch: Epoch, step: &mut Step) -> Option<&Job> {
         let holds = |job: &&Job| job.epoch == epoch && matches!(job.state, State::Leased { .. });
         let job = self.jobs.get(&id).filter(holds);
         if job.is_none() {
@@ -307,63 +309,64 @@
         job
     }
 
-    /// A try is over without a result: another after a wait, or none.
-    fn failed(&mut self, now: Time, id: JobId, error: String, step: &mut Step) {
+    /// Ends an attempt without a result: schedules the next attempt, or marks the job dead if none is left.
+    fn attempt_failed(&mut self, now: Time, id: JobId, error: String, step: &mut Step) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.last_error = Some(error);
         if job.attempts >= job.max_attempts {
             self.counts.dead += 1;
-            self.settle(id, State::Dead { finished_at: now }, step);
+            self.finish(id, State::Dead { finished_at: now }, step);
             return;
         }
-        // Doubling, with full jitter: what failed together does not come back together.
+        // Exponential backoff with full jitter: jobs that failed together are not retried together.
         let doublings = job.attempts.saturating_sub(1).min(32);
-        let most = (self.rules.initial_backoff.secs() * f64::from(doublings).exp2())
-            .min(self.rules.max_backoff.secs());
-        let wait = Span::from_secs(most * self.random.f64());
-        self.wait(now, id, now + wait, step);
+        let max_wait = (self.config.initial_backoff.secs() * f64::from(doublings).exp2())
+            .min(self.config.max_backoff.secs());
+        let wait = Span::from_secs(max_wait * self.rng.f64());
+        self.wait_until(now, id, now + wait, step);
     }
 
-    /// Puts a job back to wait.
-    fn wait(&mut self, now: Time, id: JobId, at: Time, step: &mut Step) {
-        self.retime(id, State::Waiting { due_at: at.max(now) });
+    /// Returns a job to the waiting state until `due_at`.
+    fn wait_until(&mut self, now: Time, id: JobId, due_at: Time, step: &mut Step) {
+        self.set_state(id, State::Waiting { due_at: due_at.max(now) });
         step.changes.extend(self.jobs.get(&id).cloned().map(Change::Put));
     }
 
-    /// Gives a job another state and its time.
-    fn retime(&mut self, id: JobId, state: State) {
+    /// Changes a job's state and its timer.
+    fn set_state(&mut self, id: JobId, state: State) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let leased = |state: &State| usize::from(matches!(state, State::Leased { .. }));
         self.leased = self.leased + leased(&state) - leased(&job.state);
         let old = std::mem::replace(&mut job.state, state);
         let job = &self.jobs[&id];
-        let (before, after) = (self.time(&old), self.time(&job.state));
-        self.times.remove(&(before, id));
-        self.times.insert((after, id));
+        let (before, after) = (self.timer_at(&old), self.timer_at(&job.state));
+        self.timers.remove(&(before, id));
+        self.timers.insert((after, id));
     }
 
-    fn time(&self, state: &State) -> Time {
+    /// When the timer of a job in this state fires: start of eligibility, lease expiry or end of retention.
+    fn timer_at(&self, state: &State) -> Time {
         match state {
-            State::Waiting { due_at: at } => *at,
-            State::Leased { expires_at: until } => *until,
-            State::Completed { finished_at: at, .. }
-            | State::Dead { finished_at: at }
-            | State::Cancelled { finished_at: at } => *at + self.rules.retention,
+            State::Waiting { due_at } => *due_at,
+            State::Leased { expires_at } => *expires_at,
+            State::Completed { finished_at, .. }
+            | State::Dead { finished_at }
+            | State::Cancelled { finished_at } => *finished_at + self.config.retention,
         }
     }
 
-    /// A job comes to its end.
-    fn settle(&mut self, id: JobId, state: State, step: &mut Step) {
-        self.retime(id, state);
-        self.lost.remove(&id);
+    /// Moves a job to a final state.
+    fn finish(&mut self, id: JobId, state: State, step: &mut Step) {
+        self.set_state(id, state);
+        self.recovering.remove(&id);
         let Some(job) = self.jobs.get(&id) else { return };
-        if let Some(open) = self.open.get_mut(&job.member) {
+        if let Some(open) = self.open_by_member.get_mut(&job.member) {
             *open -= 1;
             if *open == 0 {
-                self.open.remove(&job.member);
+                self.open_by_member.remove(&job.member);
             }
         }
-        self.all_open -= 1;
+        self.open_total -= 1;
         step.changes.push(Change::Put(job.clone()));
         step.effects.push(Effect::Finished(id));
     }
@@ -372,68 +375,70 @@
         let Some(job) = self.jobs.get(&id).filter(|job| job.state.finished_at().is_none()) else { return };
         let (epoch, leased) = (job.epoch, matches!(job.state, State::Leased { .. }));
         self.counts.cancelled += 1;
-        self.settle(id, State::Cancelled { finished_at: now }, step);
+        self.finish(id, State::Cancelled { finished_at: now }, step);
         if leased {
             step.effects.push(Effect::Stop(id, epoch));
         }
     }
 
-    fn revive(&mut self, now: Time, id: JobId, step: &mut Step) {
+    /// Makes a dead job runnable again, with all its attempts.
+    fn retry_dead(&mut self, now: Time, id: JobId, step: &mut Step) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| matches!(job.state, State::Dead { .. })) else {
             return;
         };
         job.attempts = 0;
-        *self.open.entry(job.member).or_default() += 1;
-        self.all_open += 1;
-        self.wait(now, id, now, step);
+        *self.open_by_member.entry(job.member).or_default() += 1;
+        self.open_total += 1;
+        self.wait_until(now, id, now, step);
     }
 
-    fn line_up(&mut self, line: Line, id: JobId) {
-        let jobs = self.lines.entry(line).or_default();
+    /// Appends a runnable job to its queue.
+    fn enqueue(&mut self, queue: QueueId, id: JobId) {
+        let jobs = self.queues.entry(queue).or_default();
         if jobs.is_empty() {
-            self.turns.push_back(line);
+            self.turn_order.push_back(queue);
         }
         jobs.push_back(id);
     }
 
-    /// A line's next turn, if anything stands in it.
-    fn turn(&mut self, line: Line) {
-        if self.lines.get(&line).is_some_and(|jobs| !jobs.is_empty()) {
-            self.turns.push_back(line);
+    /// Moves a queue to the end of the round-robin order, or removes it if it is empty.
+    fn end_turn(&mut self, queue: QueueId) {
+        if self.queues.get(&queue).is_some_and(|jobs| !jobs.is_empty()) {
+            self.turn_order.push_back(queue);
         } else {
-            self.lines.remove(&line);
+            self.queues.remove(&queue);
         }
     }
 
-    /// What is due: jobs whose wait is over line up, leases without a beat end, old jobs are forgotten.
-    fn run_times(&mut self, now: Time, step: &mut Step) {
-        while let Some(&(at, id)) = self.times.first()
+    /// Processes all due timers: queues waiting jobs, ends expired leases, deletes jobs past their retention.
+    fn fire_timers(&mut self, now: Time, step: &mut Step) {
+        while let Some(&(at, id)) = self.timers.first()
             && at <= now
         {
-            self.times.pop_first();
+            self.timers.pop_first();
             let Some(job) = self.jobs.get(&id) else { continue };
             match job.state {
                 State::Waiting { .. } => {
-                    let line = (job.member, job.class);
-                    self.line_up(line, id);
+                    let queue = (job.member, job.class);
+                    self.enqueue(queue, id);
                 }
                 State::Leased { .. } => {
                     self.counts.expired += 1;
                     step.effects.push(Effect::Stop(id, job.epoch));
-                    if self.lost.contains(&id) {
-                        // The process before took the beats with it: that is no failure of the job's.
-                        let tries = job.attempts.saturating_sub(1);
-                        self.jobs.entry(id).and_modify(|job| job.attempts = tries);
-                        self.wait(now, id, now, step);
+                    if self.recovering.contains(&id) {
+                        // The heartbeats may have gone to the previous process, so this is not a failed attempt.
+                        let attempts = job.attempts.saturating_sub(1);
+                        self.jobs.entry(id).and_modify(|job| job.attempts = attempts);
+                        self.wait_until(now, id, now, step);
                     } else {
-                        self.failed(now, id, "the lease ran out without a beat".to_owned(), step);
+                        self.attempt_failed(now, id, "the lease ran out without a beat".to_owned(), step);
                     }
                 }
                 State::Completed { .. } | State::Dead { .. } | State::Cancelled { .. } => {
                     if let Some(job) = self.jobs.remove(&id)
                         && let Some(key) = key_of(&job)
                     {
-                        self.keys.remove(&key);
+                        self.ids_by_key.remove(&key);
                     }
                     step.changes.push(Change::Delete(id));
                 }
@@ -441,31 +446,31 @@
         }
     }
 
-    /// Gives leases while there are some to give, one line after the other.
-    fn lease(&mut self, now: Time, step: &mut Step) {
-        let (tokens, at) = self.allowance;
-        let most = self.rules.recoveries_per_s.max(1.0);
-        let mut tokens = (tokens + (now - at).secs() * self.rules.recoveries_per_s).min(most);
+    /// Grants free leases to queued jobs, round-robin over the queues.
+    fn grant_leases(&mut self, now: Time, step: &mut Step) {
+        let (tokens, refilled_at) = self.recovery_bucket;
+        let burst = self.config.recoveries_per_s.max(1.0);
+        let mut tokens = (tokens + (now - refilled_at).secs() * self.config.recoveries_per_s).min(burst);
         let mut passed = 0;
-        while self.leased < self.rules.max_leases && passed < self.turns.len() {
-            let Some(line) = self.turns.pop_front() else { break };
-            let Some(jobs) = self.lines.get_mut(&line) else { continue };
+        while self.leased < self.config.max_leases && passed < self.turn_order.len() {
+            let Some(queue) = self.turn_order.pop_front() else { break };
+            let Some(jobs) = self.queues.get_mut(&queue) else { continue };
             let Some(&id) = jobs.front() else { continue };
-            // One that was cancelled, or lined up twice, has moved on: its place is passed over.
+            // Skips an entry whose job was cancelled or queued twice and is no longer waiting.
             let waits = |job: &Job| matches!(job.state, State::Waiting { .. });
             if !self.jobs.get(&id).is_some_and(waits) {
                 jobs.pop_front();
-                self.turn(line);
+                self.end_turn(queue);
                 continue;
             }
-            if self.lost.contains(&id) && tokens < 1.0 {
-                self.turns.push_back(line);
+            if self.recovering.contains(&id) && tokens < 1.0 {
+                self.turn_order.push_back(queue);
                 passed += 1;
                 continue;
             }
             jobs.pop_front();
-            self.turn(line);
-            if self.lost.remove(&id) {
+            self.end_turn(queue);
+            if self.recovering.remove(&id) {
                 tokens -= 1.0;
             }
             passed = 0;
@@ -474,12 +479,12 @@
             job.attempts += 1;
             let expires_at = now + job.lease;
             self.counts.leases += 1;
-            self.retime(id, State::Leased { expires_at });
+            self.set_state(id, State::Leased { expires_at });
             let job = &self.jobs[&id];
             step.changes.push(Change::Put(job.clone()));
             step.effects.push(Effect::Run(id, job.epoch));
         }
-        self.allowance = (tokens, now);
+        self.recovery_bucket = (tokens, now);
     }
 }
 
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -1,19 +1,16 @@
-//! The life of durable jobs. It owns which jobs there are, in what state, who holds the lease of each
-//! and until when, when a failed one may be tried again, and how much a member may have waiting. It must
-//! never read a clock, do input or output, choose a worker or decide whether a class may be repeated:
-//! those are the dispatcher's. Time and inputs come in; changes to be made durable, and what may be done
-//! once they are, go out.
+//! The state machine of durable jobs: acceptance, leases, retries, cancellation and retention, with limits per
+//! member. Contains no clock and no I/O: the caller passes in the time and the inputs, writes the returned changes,
+//! and applies the returned effects once the changes are durable. Choosing a worker, and deciding whether a class
+//! may be repeated, is up to the dispatcher.
 //!
-//! ## What is promised
+//! ## Guarantees
 //!
-//! - A job is told to be accepted only by an effect that stands behind the write of its acceptance.
-//! - A job is run only by an effect that stands behind the write of its lease. Each lease has an epoch of
-//!   its own, larger than any before it of that job, and the write holds it: no two leases of a job share
-//!   an epoch, whatever crashes.
-//! - A word about a lease (beat, completed, failed) counts only with the epoch of the lease that holds now.
-//!   A late one is told to be stale and changes nothing.
-//! - A job that is completed, dead or cancelled is never run again, unless an operator says so of a dead
-//!   one.
+//! - A client is told that its job is accepted only after the acceptance is durable.
+//! - A job is run only after its lease is durable. Each lease has an epoch that is larger than all earlier epochs
+//!   of the job and is written with the lease, so two leases of a job never share an epoch, even across crashes.
+//! - A message about a lease (heartbeat, completion, failure) counts only if its epoch is that of the current lease.
+//!   A late message is reported as stale and changes nothing.
+//! - A completed, dead or cancelled job is never run again, except that an operator may retry a dead one.
 
 mod job;
 mod ledger;
@@ -24,33 +21,33 @@
 use bytes::Bytes;
 use sablerun::{Span, Time};
 
-/// Whoever waits for the answer to a submission: a number that the caller made up.
+/// The client that waits for the answer to a submission; a number chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// What the ledger keeps to.
+/// Limits and timing of the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LedgerConfig {
-    /// Jobs that may wait, be scheduled or run, in all.
+    /// Maximum number of unfinished jobs.
     pub max_jobs: usize,
-    /// The same for one member.
+    /// Maximum number of unfinished jobs of one member.
     pub max_jobs_per_member: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body_bytes: usize,
-    /// Jobs leased at once.
+    /// Maximum number of jobs leased at the same time.
     pub max_leases: usize,
-    /// First wait before a failed job is tried again; it doubles with each try.
+    /// Upper bound of the random delay before the first retry; it doubles with each attempt.
     pub initial_backoff: Span,
-    /// The longest such wait.
+    /// Limit of that upper bound.
     pub max_backoff: Span,
-    /// Shortest and longest lease that a job may ask for.
+    /// Shortest and longest lease that a submission may request.
     pub lease_range: [Span; 2],
-    /// Leases a second that may be given to jobs whose lease was lost at a restart: cold workers are not
-    /// to be flooded by what comes back all at once.
+    /// Leases per second for jobs that were leased when the previous process ended. The limit keeps their
+    /// simultaneous return from overloading workers that have just started.
     pub recoveries_per_s: f64,
-    /// How long a settled job is remembered: a repeat of its submission gets the same job.
+    /// How long a finished job is kept. A repeated submission within that time refers to the same job.
     pub retention: Span,
-    /// When to come back where a submission is refused.
+    /// Delay that a refused client is asked to wait before it submits again.
     pub hold_off: Span,
 }
 
@@ -71,102 +68,103 @@
     }
 }
 
-/// A job as it is handed in.
+/// A request to accept a job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// Who waits for the answer.
+    /// The client that waits for the answer.
     pub ticket: Ticket,
-    /// Whose job.
+    /// The member that owns the job.
     pub member: u32,
-    /// Its class.
+    /// The class of the job.
     pub class: u32,
-    /// The client's key: a repeat under it is the same job.
+    /// The client's idempotency key. A repeated submission with the same key refers to the same job.
     pub key: Option<Bytes>,
-    /// What is to be run.
+    /// The payload for the worker.
     pub body: Bytes,
-    /// Not before this, if it is for later.
+    /// Earliest start of the job, if it is scheduled.
     pub not_before: Option<Time>,
-    /// How long a worker may be silent.
+    /// How long the worker may go without a heartbeat.
     pub lease: Span,
-    /// Tries in all, the first included.
+    /// Maximum number of attempts, including the first.
     pub max_attempts: u32,
 }
 
-/// What has happened.
+/// An event that the ledger processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A client hands a job in.
+    /// A client submits a job.
     Submit(Submission),
-    /// The worker that holds a lease lives.
+    /// A heartbeat from the worker that holds the lease.
     Beat(JobId, Epoch),
-    /// The job is done.
+    /// The worker completed the job, with this result.
     Completed(JobId, Epoch, Bytes),
-    /// A try has failed.
+    /// The attempt failed, with this error.
     Failed(JobId, Epoch, String),
-    /// No worker took it, or it is proven that it never ran: this was no try. Not again before that.
+    /// No worker took the job, or it provably never ran. Not counted as an attempt; the next lease is granted no
+    /// earlier than after this delay.
     Returned(JobId, Epoch, Span),
-    /// A client or an operator wants it no more.
+    /// A client or an operator cancels the job.
     Cancel(JobId),
-    /// An operator wants a dead job tried again.
+    /// An operator retries a dead job.
     RetryDead(JobId),
-    /// Time has passed.
+    /// A timer is due.
     Due,
 }
 
-/// What may be done once the step's changes are durable.
+/// An action that the caller applies once the changes of the step are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The job is taken.
+    /// Tell the client that its job is accepted.
     Accepted(Ticket, JobId),
-    /// It was taken before, under the same key.
+    /// Tell the client that its submission repeats an accepted job with the same key.
     Duplicate(Ticket, JobId),
-    /// It is not taken.
+    /// Tell the client that its submission is refused.
     Refused(Ticket, Refusal),
-    /// Run it under this lease.
+    /// Run the job under the lease with this epoch.
     Run(JobId, Epoch),
-    /// The lease does not hold any more: let go of whatever runs under it.
+    /// The lease has ended: cancel whatever runs under it.
     Stop(JobId, Epoch),
-    /// A word came about a lease that does not hold.
+    /// A message referred to a lease that is not the current one.
     Stale(JobId, Epoch),
-    /// The job has come to its end: completed, dead or cancelled.
+    /// The job is completed, dead or cancelled.
     Finished(JobId),
 }
 
-/// Why a submission is not taken.
+/// Why a submission is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
-    /// There is no room; come back after this.
+    /// The ledger is full; retry after this delay.
     Full(Span),
-    /// The member has its most waiting; come back after this.
+    /// The member has reached its limit of unfinished jobs; retry after this delay.
     MemberFull(Span),
-    /// The body is larger than this many bytes.
+    /// The body is larger than this limit, in bytes.
     TooLarge(usize),
-    /// The key stands for another job.
+    /// The key belongs to this job, which has another body.
     Conflict(JobId),
-    /// No tries, or a lease that is too short or too long.
+    /// No attempts, or a lease that is too short or too long.
     Invalid(&'static str),
 }
 
-/// What has been counted since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Jobs taken.
+    /// Jobs accepted.
     pub accepted: u64,
-    /// Repeats of a submission.
+    /// Repeated submissions of an accepted job.
     pub duplicates: u64,
     /// Submissions refused.
     pub refused: u64,
-    /// Leases given.
+    /// Leases granted.
     pub leases: u64,
-    /// Leases that ran out.
+    /// Leases that expired.
     pub expired: u64,
-    /// Words about leases that did not hold.
+    /// Messages about leases that were not current.
     pub stale: u64,
     /// Jobs completed.
     pub completed: u64,
-    /// Tries that failed.
+    /// Attempts that workers reported as failed.
     pub failed: u64,
-    /// Jobs that ran out of tries.
+    /// Jobs that used up their attempts.
     pub dead: u64,
     /// Jobs cancelled.
     pub cancelled: u64,
--- a/ledger/tests/crashes.rs
+++ b/ledger/tests/crashes.rs
@@ -1,5 +1,6 @@
-//! Random lives of jobs, with crashes at every point: a crash keeps what was made durable and forgets the
-//! rest, effects that had not gone out included. Workers go on through it, and speak of leases long over.
+//! Property test of the ledger: random inputs, with crashes between any two steps. A crash keeps the changes that
+//! were made durable and loses everything else, including effects that were not yet applied. Workers survive the
+//! crashes and may report on leases that ended long ago.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -11,7 +12,7 @@
 };
 use std::collections::{HashMap, HashSet};
 
-fn rules() -> LedgerConfig {
+fn config() -> LedgerConfig {
     LedgerConfig {
         max_jobs: 12,
         max_jobs_per_member: 8,
@@ -27,41 +28,41 @@
 }
 
 #[derive(Clone, Debug)]
-enum Do {
+enum Action {
     Submit {
         member: u32,
         key: Option<u8>,
         body: u8,
         later: bool,
-        tries: u32,
+        max_attempts: u32,
     },
     Beat(Index),
     Complete(Index),
     Fail(Index),
     Return(Index),
     Cancel(Index),
-    Revive(Index),
+    Retry(Index),
     Pass(u64),
-    /// So many of the steps that wait for the disk become durable.
+    /// The oldest pending steps, up to this number, become durable.
     Commit(usize),
     Crash,
 }
 
-fn what() -> impl Strategy<Value = Do> {
+fn action() -> impl Strategy<Value = Action> {
     let index = any::<Index>;
     prop_oneof![
         6 => (0..3u32, prop::option::of(0..6u8), 0..9u8, any::<bool>(), 1..4u32).prop_map(
-            |(member, key, body, later, tries)| Do::Submit { member, key, body: u8::from(body == 0), later, tries }
+            |(member, key, body, later, max_attempts)| Action::Submit { member, key, body: u8::from(body == 0), later, max_attempts }
         ),
-        3 => index().prop_map(Do::Beat),
-        5 => index().prop_map(Do::Complete),
-        3 => index().prop_map(Do::Fail),
-        1 => index().prop_map(Do::Return),
-        1 => index().prop_map(Do::Cancel),
-        1 => index().prop_map(Do::Revive),
-        4 => (1..200u64).prop_map(Do::Pass),
-        8 => (1..4usize).prop_map(Do::Commit),
-        1 => Just(Do::Crash),
+        3 => index().prop_map(Action::Beat),
+        5 => index().prop_map(Action::Complete),
+        3 => index().prop_map(Action::Fail),
+        1 => index().prop_map(Action::Return),
+        1 => index().prop_map(Action::Cancel),
+        1 => index().prop_map(Action::Retry),
+        4 => (1..200u64).prop_map(Action::Pass),
+        8 => (1..4usize).prop_map(Action::Commit),
+        1 => Just(Action::Crash),
     ]
 }
 
@@ -69,37 +70,37 @@
     ledger: Ledger,
     now: u64,
     tickets: u64,
-    /// Steps that wait for the disk.
+    /// Steps that are not yet durable.
     pending: Vec<Step>,
     disk: HashMap<JobId, Job>,
-    /// The first number that the disk never held.
-    next: u64,
-    /// All numbers that clients were ever told.
-    told: HashSet<JobId>,
-    /// What clients were told: taken.
-    promised: HashMap<JobId, Vec<Ticket>>,
-    /// Leases that went out to workers, who may speak of them for ever.
+    /// The lowest id that was never written to the disk.
+    next_id: u64,
+    /// All ids that were ever reported to clients as accepted.
+    accepted_ids: HashSet<JobId>,
+    /// Accepted jobs that must reach a final state, with the tickets of their clients.
+    accepted: HashMap<JobId, Vec<Ticket>>,
+    /// Leases that were sent to workers. A worker may report on them at any later time.
     runs: Vec<(JobId, Epoch)>,
-    /// Jobs that were told to have come to their end, and how.
-    ended: HashMap<JobId, State>,
-    revived: HashSet<JobId>,
+    /// Jobs that were reported as finished, with their final state.
+    finished: HashMap<JobId, State>,
+    retried: HashSet<JobId>,
     crashes: u64,
 }
 
 impl World {
     fn new(seed: u64) -> World {
         World {
-            ledger: Ledger::new(rules(), seed),
+            ledger: Ledger::new(config(), seed),
             now: 1_000_000,
             tickets: 0,
             pending: Vec::new(),
             disk: HashMap::new(),
-            next: 1,
-            told: HashSet::new(),
-            promised: HashMap::new(),
+            next_id: 1,
+            accepted_ids: HashSet::new(),
+            accepted: HashMap::new(),
             runs: Vec::new(),
-            ended: HashMap::new(),
-            revived: HashSet::new(),
+            finished: HashMap::new(),
+            retried: HashSet::new(),
             crashes: 0,
         }
     }
@@ -107,7 +108,7 @@
     fn input(&mut self, input: Input) {
         let step = self.ledger.step(Time(self.now), input);
         self.pending.push(step);
-        assert!(self.ledger.lease_count() <= rules().max_leases, "more leases than there may be");
+        assert!(self.ledger.lease_count() <= config().max_leases, "more leases than max_leases");
     }
 
     fn commit(&mut self) {
@@ -118,59 +119,59 @@
         for change in step.changes {
             match change {
                 Change::Put(job) => {
-                    // What is written is what is read back.
+                    // The encoding must preserve the job.
                     let read = Job::decode(job.id, &job.encode()).unwrap();
                     assert_eq!(read, job);
                     if let Some(before) = self.disk.get(&job.id) {
-                        assert!(job.epoch >= before.epoch, "an epoch went back");
-                        let ended = before.state.finished_at().is_some();
-                        assert!(!ended || self.revived.remove(&job.id), "a job that had ended was changed");
+                        assert!(job.epoch >= before.epoch, "the epoch decreased");
+                        let finished = before.state.finished_at().is_some();
+                        assert!(!finished || self.retried.remove(&job.id), "a finished job was changed");
                     }
-                    self.next = self.next.max(job.id.0 + 1);
+                    self.next_id = self.next_id.max(job.id.0 + 1);
                     self.disk.insert(job.id, job);
                 }
                 Change::Delete(id) => {
-                    let dropped = self.disk.remove(&id).expect("it was there");
-                    assert!(dropped.state.finished_at().is_some(), "a job was forgotten before its end");
-                    self.ended.remove(&id);
-                    self.promised.remove(&id);
+                    let dropped = self.disk.remove(&id).expect("deleted a job that is not on the disk");
+                    assert!(dropped.state.finished_at().is_some(), "a job was deleted before it finished");
+                    self.finished.remove(&id);
+                    self.accepted.remove(&id);
                 }
             }
         }
         for effect in step.effects {
-            self.done(effect);
+            self.apply_effect(effect);
         }
     }
 
-    fn done(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Accepted(ticket, id) => {
-                assert!(self.disk.contains_key(&id), "taken, and not on the disk");
-                let before = self.promised.insert(id, vec![ticket]);
-                assert!(before.is_none() && self.told.insert(id), "one number for two jobs");
+                assert!(self.disk.contains_key(&id), "accepted, but not on the disk");
+                let before = self.accepted.insert(id, vec![ticket]);
+                assert!(before.is_none() && self.accepted_ids.insert(id), "one id for two jobs");
             }
             Effect::Duplicate(ticket, id) => {
-                let tickets = self.promised.get_mut(&id);
-                tickets.expect("the same as one that was never taken").push(ticket);
+                let tickets = self.accepted.get_mut(&id);
+                tickets.expect("duplicate of a job that was never accepted").push(ticket);
             }
             Effect::Refused(_, refusal) => match refusal {
-                Refusal::Full(wait) | Refusal::MemberFull(wait) => assert_eq!(wait, rules().hold_off),
+                Refusal::Full(wait) | Refusal::MemberFull(wait) => assert_eq!(wait, config().hold_off),
                 Refusal::Conflict(_) => {}
                 other => panic!("{other:?}"),
             },
             Effect::Run(id, epoch) => {
-                assert!(!self.ended.contains_key(&id), "run after its end");
+                assert!(!self.finished.contains_key(&id), "run after it finished");
                 let written = &self.disk[&id];
                 assert!(written.epoch >= epoch, "run under an epoch that is not on the disk");
-                assert!(written.attempts <= written.max_attempts, "more tries than it may have");
-                assert!(!self.runs.contains(&(id, epoch)), "an epoch given twice");
+                assert!(written.attempts <= written.max_attempts, "more attempts than max_attempts");
+                assert!(!self.runs.contains(&(id, epoch)), "an epoch used twice");
                 self.runs.push((id, epoch));
             }
             Effect::Finished(id) => {
                 let state = self.disk[&id].state.clone();
                 assert!(state.finished_at().is_some());
-                let before = self.ended.insert(id, state);
-                assert!(before.is_none(), "two ends of one job");
+                let before = self.finished.insert(id, state);
+                assert!(before.is_none(), "a job finished twice");
             }
             Effect::Stop(..) | Effect::Stale(..) => {}
         }
@@ -180,25 +181,25 @@
         self.pending.clear();
         self.crashes += 1;
         let jobs: Vec<_> = self.disk.values().cloned().collect();
-        self.ledger = Ledger::load(rules(), self.crashes, Time(self.now), self.next, jobs).unwrap();
-        // An end that was written and not yet told is told by whoever asks.
+        self.ledger = Ledger::load(config(), self.crashes, Time(self.now), self.next_id, jobs).unwrap();
+        // A final state that was written but not reported is seen by clients that ask for it.
         for job in self.disk.values().filter(|job| job.state.finished_at().is_some()) {
-            self.ended.entry(job.id).or_insert_with(|| job.state.clone());
-            self.promised.entry(job.id).or_default();
+            self.finished.entry(job.id).or_insert_with(|| job.state.clone());
+            self.accepted.entry(job.id).or_default();
         }
         for job in self.disk.values() {
-            self.promised.entry(job.id).or_default();
+            self.accepted.entry(job.id).or_default();
         }
-        self.revived.clear();
+        self.retried.clear();
     }
 
-    fn take(&mut self, what: Do) {
-        let run = |world: &World, of: Index| match world.runs.as_slice() {
+    fn perform(&mut self, action: Action) {
+        let pick_run = |world: &World, index: Index| match world.runs.as_slice() {
             [] => None,
-            runs => Some(runs[of.index(runs.len())]),
+            runs => Some(runs[index.index(runs.len())]),
         };
-        match what {
-            Do::Submit { member, key, body, later, tries } => {
+        match action {
+            Action::Submit { member, key, body, later, max_attempts } => {
                 self.tickets += 1;
                 let at = later.then_some(Time(self.now + 100));
                 let submission = Submission {
@@ -209,17 +210,17 @@
                     body: Bytes::from(vec![body]),
                     not_before: at,
                     lease: Span(60),
-                    max_attempts: tries,
+                    max_attempts,
                 };
                 self.input(Input::Submit(submission));
             }
-            Do::Beat(of) => {
-                if let Some((id, epoch)) = run(self, of) {
+            Action::Beat(index) => {
+                if let Some((id, epoch)) = pick_run(self, index) {
                     self.input(Input::Beat(id, epoch));
                 }
             }
-            Do::Complete(of) => {
-                if let Some((id, epoch)) = run(self, of) {
+            Action::Complete(index) => {
+                if let Some((id, epoch)) = pick_run(self, index) {
                     let result = format!("{} under {}", id.0, epoch.0);
                     let holds = self
                         .ledger
@@ -232,46 +233,46 @@
                     assert_eq!(
                         after.stale - before.stale,
                         u64::from(!holds),
-                        "a late word is told to be stale"
+                        "a late message must be reported as stale"
                     );
                 }
             }
-            Do::Fail(of) => {
-                if let Some((id, epoch)) = run(self, of) {
+            Action::Fail(index) => {
+                if let Some((id, epoch)) = pick_run(self, index) {
                     self.input(Input::Failed(id, epoch, "no".to_owned()));
                 }
             }
-            Do::Return(of) => {
-                if let Some((id, epoch)) = run(self, of) {
+            Action::Return(index) => {
+                if let Some((id, epoch)) = pick_run(self, index) {
                     self.input(Input::Returned(id, epoch, Span(20)));
                 }
             }
-            Do::Cancel(of) => {
-                let mut all: Vec<_> = self.promised.keys().copied().collect();
+            Action::Cancel(index) => {
+                let mut all: Vec<_> = self.accepted.keys().copied().collect();
                 all.sort();
                 if !all.is_empty() {
-                    self.input(Input::Cancel(all[of.index(all.len())]));
+                    self.input(Input::Cancel(all[index.index(all.len())]));
                 }
             }
-            Do::Revive(of) => {
+            Action::Retry(index) => {
                 let dead = |job: &&Job| matches!(job.state, State::Dead { .. });
                 let mut all: Vec<_> = self.ledger.jobs().filter(dead).map(|job| job.id).collect();
                 all.sort();
                 if !all.is_empty() {
-                    let id = all[of.index(all.len())];
-                    // Everything before it, so that the end it revives from has been told.
+                    let id = all[index.index(all.len())];
+                    // Commits all earlier steps first, so that the final state has been reported.
                     self.commit_all();
-                    self.ended.remove(&id);
-                    self.revived.insert(id);
+                    self.finished.remove(&id);
+                    self.retried.insert(id);
                     self.input(Input::RetryDead(id));
                 }
             }
-            Do::Pass(time) => {
+            Action::Pass(time) => {
                 self.now += time;
                 self.input(Input::Due);
             }
-            Do::Commit(most) => (0..most).for_each(|_| self.commit()),
-            Do::Crash => self.crash(),
+            Action::Commit(count) => (0..count).for_each(|_| self.commit()),
+            Action::Crash => self.crash(),
         }
     }
 
@@ -281,13 +282,13 @@
         }
     }
 
-    /// Lets everything come to its end: workers do what they are given, at once.
+    /// Runs until all jobs are finished: workers complete each job at once.
     fn finish(&mut self) {
         for _ in 0..400 {
             self.commit_all();
-            let held: Vec<_> =
+            let leased: Vec<_> =
                 self.ledger.jobs().filter(|j| matches!(j.state, State::Leased { .. })).cloned().collect();
-            for job in held {
+            for job in leased {
                 if self.runs.contains(&(job.id, job.epoch)) {
                     self.input(Input::Completed(job.id, job.epoch, "late".into()));
                 }
@@ -308,20 +309,20 @@
     })]
 
     #[test]
-    fn whatever_crashes_each_job_that_was_promised_comes_to_one_end(
+    fn each_accepted_job_finishes_exactly_once_despite_crashes(
         seed in any::<u64>(),
-        steps in prop::collection::vec(what(), 1..150),
+        steps in prop::collection::vec(action(), 1..150),
     ) {
         let mut world = World::new(seed);
         for step in steps {
-            world.take(step);
+            world.perform(step);
         }
-        let owed: Vec<_> = world.promised.keys().copied().collect();
+        let accepted: Vec<_> = world.accepted.keys().copied().collect();
         world.finish();
-        for id in owed {
-            // Forgotten after its end, or at its end: never neither.
+        for id in accepted {
+            // Either finished or already deleted after its retention.
             let open = world.ledger.job(id).is_some_and(|job| job.state.finished_at().is_none());
-            prop_assert!(!open, "job {} was promised and did not come to its end", id.0);
+            prop_assert!(!open, "job {} was accepted but did not finish", id.0);
         }
         prop_assert_eq!(world.ledger.lease_count(), 0);
     }
