--- a/ledger/src/job.rs
+++ b/ledger/src/job.rs
@@ -54,9 +54,9 @@
     pub fn finished_at(&self) -> Option<Time> {
         match self {
             State::Waiting { .. } | State::Leased { .. } => None,
-            State::Completed { finished_at: at, .. }
-            | State::Dead { finished_at: at }
-            | State::Cancelled { finished_at: at } => Some(*at),
+            State::Completed { finished_at, .. }
+            | State::Dead { finished_at }
+            | State::Cancelled { finished_at } => Some(*finished_at),
         }
     }
 }
@@ -80,8 +80,8 @@
     pub lease: Span,
     /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Attempts so far. A lease that was returned without having run, or that expired after a restart without a new
-    /// heartbeat, does not count.
+    /// Attempts so far. A lease that was returned without having run, or that expired after a restart without
+    /// a new heartbeat, does not count.
     pub attempts: u32,
     /// The epoch of the last lease; zero before the first.
     pub epoch: Epoch,
@@ -149,11 +149,11 @@
     /// Encodes the job without its id, which the store keeps as the key of the record.
     pub fn encode(&self) -> Vec<u8> {
         let state = match &self.state {
-            State::Waiting { due_at: at } => (0, at.0, Vec::new()),
-            State::Leased { expires_at: until } => (1, until.0, Vec::new()),
-            State::Completed { finished_at: at, result } => (2, at.0, result.to_vec()),
-            State::Dead { finished_at: at } => (3, at.0, Vec::new()),
-            State::Cancelled { finished_at: at } => (4, at.0, Vec::new()),
+            State::Waiting { due_at } => (0, due_at.0, Vec::new()),
+            State::Leased { expires_at } => (1, expires_at.0, Vec::new()),
+            State::Completed { finished_at, result } => (2, finished_at.0, result.to_vec()),
+            State::Dead { finished_at } => (3, finished_at.0, Vec::new()),
+            State::Cancelled { finished_at } => (4, finished_at.0, Vec::new()),
         };
         let first = RecordV1 {
             member: self.member,
@@ -223,7 +223,8 @@
     }
 }
 
-/// Records of format version 1 must stay readable after an upgrade; records of a later version must be rejected.
+/// Records of format version 1 must stay readable after an upgrade; records of a later version must be
+/// rejected.
 #[test]
 fn records_of_the_first_version_are_read_and_of_the_next_refused() {
     let job = Job {
--- a/ledger/src/ledger.rs
+++ b/ledger/src/ledger.rs
@@ -1,9 +1,10 @@
-//! The in-memory state machine of durable jobs: every state transition, the order in which jobs are leased, and
-//! the timers. An effect is always returned in the same step as the change that must be durable before it.
+//! The in-memory state machine of durable jobs: every state transition, the order in which jobs are leased,
+//! and the timers. An effect is always returned in the same step as the change that must be durable before
+//! it.
 //!
-//! Runnable jobs wait in one FIFO queue per member and class. The queues are served round-robin, so a member with
-//! a long backlog delays only its own jobs. All timers (schedules, backoff, lease expiry, end of retention) are in
-//! one ordered set; a timer whose job no longer exists is ignored.
+//! Runnable jobs wait in one FIFO queue per member and class. The queues are served round-robin, so a member
+//! with a long backlog delays only its own jobs. All timers (schedules, backoff, lease expiry, end of
+//! retention) are in one ordered set; a timer whose job no longer exists is ignored.
 
 use crate::{Change, Counts, Effect, Epoch, Input, Job, JobId, LedgerConfig, Refusal, State, Submission};
 use bytes::Bytes;
@@ -96,9 +97,9 @@
     }
 
     /// Restores a ledger from stored jobs. No id below `next_id` is assigned again, even if its job has been
-    /// deleted, because a worker may still report on it. A lease that was held stays valid for at most its length
-    /// from now: its worker may still be running, but the process that received its heartbeats is gone. Without
-    /// a new heartbeat the job is run again, at a bounded rate.
+    /// deleted, because a worker may still report on it. A lease that was held stays valid for at most its
+    /// length from now: its worker may still be running, but the process that received its heartbeats is
+    /// gone. Without a new heartbeat the job is run again, at a bounded rate.
     ///
     /// # Errors
     ///
@@ -426,7 +427,8 @@
                     self.counts.expired += 1;
                     step.effects.push(Effect::Stop(id, job.epoch));
                     if self.recovering.contains(&id) {
-                        // The heartbeats may have gone to the previous process, so this is not a failed attempt.
+                        // The heartbeats may have gone to the previous process, so this is not a failed
+                        // attempt.
                         let attempts = job.attempts.saturating_sub(1);
                         self.jobs.entry(id).and_modify(|job| job.attempts = attempts);
                         self.wait_until(now, id, now, step);
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -1,15 +1,16 @@
-//! The state machine of durable jobs: acceptance, leases, retries, cancellation and retention, with limits per
-//! member. Contains no clock and no I/O: the caller passes in the time and the inputs, writes the returned changes,
-//! and applies the returned effects once the changes are durable. Choosing a worker, and deciding whether a class
-//! may be repeated, is up to the dispatcher.
+//! The state machine of durable jobs: acceptance, leases, retries, cancellation and retention, with limits
+//! per member. Contains no clock and no I/O: the caller passes in the time and the inputs, writes the
+//! returned changes, and applies the returned effects once the changes are durable. Choosing a worker, and
+//! deciding whether a class may be repeated, is up to the dispatcher.
 //!
 //! ## Guarantees
 //!
 //! - A client is told that its job is accepted only after the acceptance is durable.
-//! - A job is run only after its lease is durable. Each lease has an epoch that is larger than all earlier epochs
-//!   of the job and is written with the lease, so two leases of a job never share an epoch, even across crashes.
-//! - A message about a lease (heartbeat, completion, failure) counts only if its epoch is that of the current lease.
-//!   A late message is reported as stale and changes nothing.
+//! - A job is run only after its lease is durable. Each lease has an epoch that is larger than all earlier
+//!   epochs of the job and is written with the lease, so two leases of a job never share an epoch, even
+//!   across crashes.
+//! - A message about a lease (heartbeat, completion, failure) counts only if its epoch is that of the current
+//!   lease. A late message is reported as stale and changes nothing.
 //! - A completed, dead or cancelled job is never run again, except that an operator may retry a dead one.
 
 mod job;
@@ -100,8 +101,8 @@
     Completed(JobId, Epoch, Bytes),
     /// The attempt failed, with this error.
     Failed(JobId, Epoch, String),
-    /// No worker took the job, or it provably never ran. Not counted as an attempt; the next lease is granted no
-    /// earlier than after this delay.
+    /// No worker took the job, or it provably never ran. Not counted as an attempt; the next lease is granted
+    /// no earlier than after this delay.
     Returned(JobId, Epoch, Span),
     /// A client or an operator cancels the job.
     Cancel(JobId),
--- a/ledger/tests/crashes.rs
+++ b/ledger/tests/crashes.rs
@@ -1,6 +1,6 @@
-//! Property test of the ledger: random inputs, with crashes between any two steps. A crash keeps the changes that
-//! were made durable and loses everything else, including effects that were not yet applied. Workers survive the
-//! crashes and may report on leases that ended long ago.
+//! Property test of the ledger: random inputs, with crashes between any two steps. A crash keeps the changes
+//! that were made durable and loses everything else, including effects that were not yet applied. Workers
+//! survive the crashes and may report on leases that ended long ago.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -52,7 +52,9 @@
     let index = any::<Index>;
     prop_oneof![
         6 => (0..3u32, prop::option::of(0..6u8), 0..9u8, any::<bool>(), 1..4u32).prop_map(
-            |(member, key, body, later, max_attempts)| Action::Submit { member, key, body: u8::from(body == 0), later, max_attempts }
+            |(member, key, body, later, max_attempts)| {
+                Action::Submit { member, key, body: u8::from(body == 0), later, max_attempts }
+            }
         ),
         3 => index().prop_map(Action::Beat),
         5 => index().prop_map(Action::Complete),
