--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -1,8 +1,8 @@
-//! A bounded store of idempotency keys. It owns what is known of each key that a client gave: under
-//! way, served with this result, may have run there at that time. It says what a request with a key may
-//! do: begin, join the one under way, take its result, or begin again, but only where the first may have
-//! run. It must never read a clock, do input or output, choose a worker, or drop a key that is under way
-//! or inside its window: where there is no room the newcomer is turned away instead.
+//! A bounded store of idempotency keys. For each key it records whether its request is in progress, was
+//! served (with the result), or may have run (with where and when), and decides what a new request with the
+//! key may do: start, join the one in progress, receive its stored result, or be sent again to the place
+//! where the first one may have run. Contains no clock and no I/O. A key that is in progress or inside its
+//! window is never evicted; when the store is full, new keys are refused.
 
 mod snapshot;
 mod store;
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use sablerun::{Span, Time, ZoneId};
 
-/// Whose key it is: the member's number, or [`Member::NONE`] where members are not told apart. No member
-/// sees or blocks another's keys.
+/// The owner of a key: the number of a member, or [`Member::NONE`] where members are not distinguished. Keys
+/// of different members are independent of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Member(pub u32);
 
@@ -23,79 +23,83 @@
     pub const NONE: Member = Member(u32::MAX);
 }
 
-/// A digest of what is asked for: path, query and body. Two requests under one key with different
-/// digests are different requests.
+/// A hash of a request's path, query and body. Two requests with the same key and different fingerprints are
+/// in conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Fingerprint(pub [u8; 16]);
 
-/// The run of a request under way: a number that the caller made up.
+/// Identifies a request in progress; a number chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunId(pub u64);
 
-/// How long a class's keys are kept, each from the moment in which its request was settled.
+/// How long the keys of a class are kept, counted from the resolution of their requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// A result is handed back, and a repeat of what may have run goes to the same hall, for so long.
-    /// The hall's own window counts from the sending, so a repeat ends earlier where that does.
+    /// How long a stored result is returned, and a request that may have run may be sent again to the same
+    /// place. The runners there count their own window from the first sending, so resending ends when that
+    /// window ends.
     pub window: Span,
-    /// What may have run is remembered for so long, at least the window: beyond the window a repeat
-    /// fails, since a hall would run it again.
+    /// How long a request that may have run is remembered; at least the window. After the window a repeat
+    /// fails, because the runners would no longer recognise it and would run it again.
     pub uncertain_ttl: Span,
 }
 
-/// What the store may hold.
+/// The limits of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Keys under way and settled.
+    /// Maximum number of keys, in progress and resolved.
     pub max_entries: usize,
-    /// Bytes of keys, results and the store's own overhead, as [`Store::bytes`] counts them.
+    /// Maximum memory for keys, results and overhead, as counted by [`Store::bytes`].
     pub max_bytes: usize,
-    /// Largest result that is kept, in bytes.
+    /// Maximum size of a stored result, in bytes.
     pub max_result_bytes: usize,
-    /// Longest key, in bytes.
+    /// Maximum length of a key, in bytes.
     pub max_key_bytes: usize,
-    /// Keys of one member.
+    /// Maximum number of keys of one member.
     pub max_entries_per_member: usize,
-    /// When to come back where only time can tell when there will be room.
+    /// Retry delay for refused requests when no key has a known time of expiry.
     pub hold_off: Span,
 }
 
-/// Where a hall's memory of repeats reaches.
+/// The zone and cell that a request was sent to. Runners of the same place recognise repeats of a request
+/// that any of them received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Place {
-    /// The zone, by its number.
+    /// The number of the zone.
     pub zone: u32,
-    /// The cell.
+    /// The number of the cell.
     pub cell: u32,
 }
 
 impl Place {
-    /// The zone as the module names it.
+    /// The zone as an id of the balancer.
     pub fn zone(self) -> ZoneId {
         ZoneId(self.zone)
     }
 }
 
-/// The sendings of a request that may have run.
+/// The attempts of a request that were sent and may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempts {
-    /// Where; `None` if that is not known, and a repeat may go nowhere.
+    /// The place that all attempts were sent to. `None` if it is unknown or they differ: then the request
+    /// must not be sent again.
     pub place: Option<Place>,
-    /// The first that may have run: the hall's window counts from it.
+    /// When the first attempt was sent; the window of the runners starts then.
     pub first_at: Time,
-    /// The last that may have run.
+    /// When the last attempt was sent.
     pub last_at: Time,
-    /// How many.
+    /// The number of attempts.
     pub count: u32,
 }
 
 impl SentAttempts {
-    /// One sending.
+    /// A single attempt.
     pub fn single(place: Option<Place>, at: Time) -> SentAttempts {
         SentAttempts { place, first_at: at, last_at: at, count: 1 }
     }
 
-    /// Adds a later sending. It must be to the same place; if it is not, no place is safe any more.
+    /// Adds later attempts. If they went to another place, the result has no place: neither is safe for a
+    /// repeat.
     pub fn merge(self, later: SentAttempts) -> SentAttempts {
         SentAttempts {
             place: self.place.filter(|place| later.place == Some(*place)),
@@ -106,82 +110,82 @@
     }
 }
 
-/// How a request under a key was settled.
+/// How a request with a key ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// With this result.
+    /// Served with this result.
     Served(Bytes),
-    /// Failed, timed out, reset or left: it may have run.
+    /// Failed, timed out, reset or abandoned by the client: it may have run.
     MayHaveRun(SentAttempts),
-    /// It is proven that it never ran: the key is free.
+    /// Provably never ran: the key can be used again.
     NeverRan,
 }
 
-/// A request with a key.
+/// A request with an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyedRequest<'a> {
-    /// Whose key.
+    /// The owner of the key.
     pub member: Member,
-    /// The class, by its number.
+    /// The number of the class.
     pub class: u32,
-    /// The key as the client wrote it.
+    /// The key as sent by the client.
     pub key: &'a [u8],
-    /// What is asked for.
+    /// Identifies the content of the request.
     pub fingerprint: Fingerprint,
-    /// The client marks it as a later try.
+    /// Whether the client marks the request as a retry.
     pub retry: bool,
 }
 
-/// What a request with a key may do.
+/// The decision on a request with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Begin: the key is under way now, and the caller settles it.
+    /// Start the request. Its key is now in progress until the caller resolves it.
     New,
-    /// Begin again, but only where the first may have run; the key is under way now.
+    /// Send the request again, but only to the place where it may have run. The key is now in progress.
     Resend(SentAttempts),
-    /// Wait for the answer of the request under way.
+    /// Wait for the answer of the request in progress.
     Join(RunId),
-    /// Take the first one's result.
+    /// Return the stored result.
     Replay(Bytes),
-    /// Fail: it may have run, and no hall would know a repeat for one any more.
+    /// Fail: the request may have run, and no runner would recognise a repeat any more.
     NotRepeatable,
-    /// Fail: it was served, but its result was too large to keep.
+    /// Fail: the request was served, but its result was not stored (too large, or no room).
     ResultNotStored,
-    /// Fail: a later try whose first one this store can't know, too soon after its start.
+    /// Fail: a retry of a request that a previous process may have sent; this store does not know it.
     UnknownRetry,
-    /// An error of the client: the key stands for another request.
+    /// Client error: the key belongs to a request with another fingerprint.
     Conflict,
-    /// An error of the client: the key is empty or too long.
+    /// Client error: the key is empty or too long.
     InvalidKey,
-    /// Refused: there is no room. Come back after this.
+    /// Refuse: the store is full; retry after this delay.
     Full(Span),
 }
 
-/// What has been counted so far.
+/// Counters since the creation of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Keys that began.
+    /// Requests started with a new key.
     pub started: u64,
-    /// Repeats that joined one under way.
+    /// Repeats that joined a request in progress.
     pub joined: u64,
-    /// Repeats that were handed the first one's result.
+    /// Repeats answered with the stored result.
     pub replayed: u64,
-    /// Repeats sent again, bound to the first one's hall.
+    /// Repeats sent again to the place of the first attempt.
     pub resent: u64,
-    /// Repeats failed: the window was over, or the hall not known.
+    /// Repeats that failed because the window had ended or the place was unknown.
     pub not_repeatable: u64,
-    /// Repeats failed: the result had not been kept.
+    /// Repeats that failed because the result was not stored.
     pub result_not_stored: u64,
-    /// Marked later tries failed soon after the start.
+    /// Retries of unknown keys that failed soon after the start.
     pub unknown_retries: u64,
-    /// Keys given for another request.
+    /// Keys used for a different request.
     pub conflicts: u64,
-    /// Newcomers refused: the store was full.
+    /// New keys refused because the store was full.
     pub full: u64,
-    /// Newcomers refused: their member held its most.
+    /// New keys refused because their member had reached its limit.
     pub member_full: u64,
-    /// Keys that may have run, dropped for want of room after their window.
+    /// Keys of requests that may have run, evicted after their window to make room.
     pub evicted: u64,
-    /// Results not kept: too large, or no room.
+    /// Results not stored: too large, or no room.
     pub results_dropped: u64,
 }
--- a/keys/src/snapshot.rs
+++ b/keys/src/snapshot.rs
@@ -1,57 +1,56 @@
-//! The form of a snapshot: what a store held, as bytes that a successor can trust. It owns the format,
-//! its version and its checksum. It must never read or write a file: it turns bytes into records, or
-//! says why it will not.
+//! The encoding of a snapshot of a store, for the next process. Contains no I/O.
 //!
-//! `SRKEYS` and two bytes of format version, eight bytes of payload length, four bytes of CRC-32 of the
-//! payload, then the payload in postcard's encoding. All numbers are little-endian.
+//! Layout: `SRKEYS`, format version (2 bytes), payload length (8 bytes), CRC-32 of the payload (4 bytes),
+//! then the payload in postcard encoding. All header numbers are little-endian.
 
 use crate::{Fingerprint, Member, Place, Record, Resolution, SentAttempts};
 use bytes::Bytes;
 use sablerun::Time;
 use std::fmt;
 
-/// The version that this program writes, and the only one that it reads.
+/// The format version that this program writes, and the only one that it reads.
 pub const FORMAT: u16 = 1;
 
 const MAGIC: &[u8; 6] = b"SRKEYS";
-const HEAD: usize = 20;
+const HEADER_BYTES: usize = 20;
 
-/// The names behind the numbers in the records: numbers are one process's own.
+/// The names of the numbers in the records. Numbers are only valid within one process; names persist.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Names {
-    /// Members.
+    /// Names of members, by number.
     pub members: Vec<String>,
-    /// Classes.
+    /// Names of classes, by number.
     pub classes: Vec<String>,
-    /// Zones.
+    /// Names of zones, by number.
     pub zones: Vec<String>,
 }
 
-/// What a store held, and when.
+/// The contents of a store at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// When it was made, on the program's clock (Unix time in nanoseconds).
+    /// When the snapshot was taken, on the program's clock (Unix time in nanoseconds).
     pub taken_at: Time,
-    /// It was made at an orderly end, after the last answer: nothing was sent that it does not hold.
+    /// Whether it was taken during an orderly shutdown, after the last answer: it then covers every request
+    /// that was sent.
     pub clean_shutdown: bool,
-    /// The names that the records' numbers stand for.
+    /// The names of the numbers in the records.
     pub names: Names,
     /// The keys, oldest first.
     pub records: Vec<Record>,
 }
 
-/// Why bytes are no snapshot that can be used.
+/// Why a snapshot could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It does not begin as a snapshot does.
+    /// The header is missing or does not start with the magic bytes.
     NotASnapshot,
-    /// It is of a version that this program does not read.
+    /// The format version is not supported.
     Version(u16),
-    /// It ends too early, or goes on after its end: the bytes stated and found.
+    /// The payload has another length than the header states: stated and found, in bytes.
     Length(u64, u64),
-    /// Its checksum does not match: some bit has changed.
+    /// The checksum does not match.
     Checksum,
-    /// Its payload can't be read though its checksum matches.
+    /// The checksum matches, but the payload is malformed.
     Payload(String),
 }
 
@@ -73,7 +72,7 @@
 
 impl std::error::Error for SnapshotError {}
 
-/// A record as it stands in the payload. The first version's form: a change to it is a new version.
+/// A record as encoded in the payload of format version 1. Any change requires a new version.
 #[derive(serde::Serialize, serde::Deserialize)]
 struct Stored {
     member: u32,
@@ -81,9 +80,9 @@
     key: Vec<u8>,
     print: [u8; 16],
     at: u64,
-    /// The result, where it was served.
+    /// The result, if the request was served.
     result: Option<Vec<u8>>,
-    /// Place, first, last, times: where it may have run.
+    /// Place, first, last and number of the attempts, if the request may have run.
     sent: Option<(Option<Place>, u64, u64, u32)>,
 }
 
@@ -96,12 +95,14 @@
 }
 
 impl Snapshot {
-    /// The snapshot as bytes.
+    /// Encodes the snapshot.
     pub fn encode(&self) -> Vec<u8> {
         let stored = |record: &Record| {
             let (result, sent) = match &record.resolution {
                 Resolution::Served(result) => (Some(result.to_vec()), None),
-                Resolution::MayHaveRun(s) => (None, Some((s.place, s.first_at.0, s.last_at.0, s.count))),
+                Resolution::MayHaveRun(sent) => {
+                    (None, Some((sent.place, sent.first_at.0, sent.last_at.0, sent.count)))
+                }
                 Resolution::NeverRan => (None, None),
             };
             Stored {
@@ -118,7 +119,7 @@
         let payload =
             Payload { made: self.taken_at.0, last: self.clean_shutdown, names: self.names.clone(), records };
         let payload = postcard::to_stdvec(&payload).expect("plain data into memory");
-        let mut bytes = Vec::with_capacity(HEAD + payload.len());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&FORMAT.to_le_bytes());
         bytes.extend_from_slice(&(payload.len() as u64).to_le_bytes());
@@ -127,40 +128,40 @@
         bytes
     }
 
-    /// The snapshot that these bytes are.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// Says why they can't be used; nothing of them is.
+    /// The bytes are not an intact snapshot of a supported version. Nothing of them is used.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
-        let head = bytes.get(..HEAD).ok_or(SnapshotError::NotASnapshot)?;
-        if &head[..6] != MAGIC {
+        let header = bytes.get(..HEADER_BYTES).ok_or(SnapshotError::NotASnapshot)?;
+        if &header[..6] != MAGIC {
             return Err(SnapshotError::NotASnapshot);
         }
-        let version = u16::from_le_bytes([head[6], head[7]]);
+        let version = u16::from_le_bytes([header[6], header[7]]);
         if version != FORMAT {
             return Err(SnapshotError::Version(version));
         }
-        let number = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| head[at + n]));
-        let payload = &bytes[HEAD..];
-        let (stated, found) = (number(8), payload.len() as u64);
+        let read_u64 = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| header[at + n]));
+        let payload = &bytes[HEADER_BYTES..];
+        let (stated, found) = (read_u64(8), payload.len() as u64);
         if stated != found {
             return Err(SnapshotError::Length(stated, found));
         }
-        let sum = u32::from_le_bytes([head[16], head[17], head[18], head[19]]);
-        if crc32fast::hash(payload) != sum {
+        let checksum = u32::from_le_bytes([header[16], header[17], header[18], header[19]]);
+        if crc32fast::hash(payload) != checksum {
             return Err(SnapshotError::Checksum);
         }
         let payload: Payload =
             postcard::from_bytes(payload).map_err(|e| SnapshotError::Payload(e.to_string()))?;
         let record = |stored: Stored| {
-            let fate = match (stored.result, stored.sent) {
+            let resolution = match (stored.result, stored.sent) {
                 (Some(result), _) => Resolution::Served(Bytes::from(result)),
-                (None, Some((place, first, last, times))) => Resolution::MayHaveRun(SentAttempts {
+                (None, Some((place, first, last, count))) => Resolution::MayHaveRun(SentAttempts {
                     place,
                     first_at: Time(first),
                     last_at: Time(last),
-                    count: times,
+                    count,
                 }),
                 (None, None) => Resolution::NeverRan,
             };
@@ -170,7 +171,7 @@
                 key: stored.key,
                 fingerprint: Fingerprint(stored.print),
                 resolved_at: Time(stored.at),
-                resolution: fate,
+                resolution,
             }
         };
         let records = payload.records.into_iter().map(record).collect();
@@ -182,8 +183,8 @@
         })
     }
 
-    /// The records with another process's numbers put in place of this one's, by the names. A record
-    /// whose class or member has no number any more is left out; a place whose zone has none is forgotten.
+    /// Returns the records with the numbers of the current process, looked up by name. Skips records whose
+    /// class or member is unknown now; clears the place of attempts whose zone is unknown now.
     pub fn renumbered(
         self,
         class: impl Fn(&str) -> Option<u32>,
@@ -192,7 +193,7 @@
     ) -> Vec<Record> {
         let name = |names: &[String], number: u32| names.get(number as usize).cloned();
         let Names { members, classes, zones } = self.names;
-        let moved = |mut record: Record| {
+        let renumber = |mut record: Record| {
             record.class = class(&name(&classes, record.class)?)?;
             if record.member != Member::NONE {
                 record.member = Member(member(&name(&members, record.member.0)?)?);
@@ -204,6 +205,6 @@
             }
             Some(record)
         };
-        self.records.into_iter().filter_map(moved).collect()
+        self.records.into_iter().filter_map(renumber).collect()
     }
 }
--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -1,10 +1,9 @@
-//! The store itself. It owns the two halves of what is known, keys under way and keys settled, and the
-//! count of their bytes. It must never drop what is under way or inside its window.
+//! The store: keys in progress, resolved keys, and the accounting of their memory.
 //!
-//! Settled keys stand in one lane for each class and kind of fate. In a lane all keys are kept for
-//! equally long, so the order of settling is the order of expiry, and the front of a lane is its oldest.
-//! There are two lanes a class however many keys there are: a step costs a few look-ups, and the dropping
-//! of what has expired is paid for by the steps that put it there.
+//! Resolved keys are kept in two expiry queues per class: served keys and keys that may have run. All keys of
+//! a queue have the same lifetime, so the order of insertion is the order of expiry and the front is always
+//! the oldest. The cost of a call is a few look-ups, independent of the number of keys; the removal of
+//! expired entries is amortised over the calls that inserted them.
 
 use crate::{
     Admission, Bounds, Counts, Fingerprint, KeyedRequest, Member, Resolution, Retention, RunId, SentAttempts,
@@ -14,192 +13,198 @@
 use sablerun::{Span, Time};
 use std::collections::HashMap;
 
-/// Bytes that an entry takes beside its key and result: both tables' slots and links at their usual
-/// load, and the allocator's round-up (the benchmark `store` measures it).
-const OVERHEAD: usize = 224;
-/// Most expired entries that one step drops.
-const STRIDE: usize = 256;
+/// Memory of an entry beyond its key and result, in bytes: the slots and links of both tables at their usual
+/// load, and the rounding of the allocator (measured by the benchmark `store`).
+const ENTRY_OVERHEAD_BYTES: usize = 224;
+/// Maximum number of entries that one call removes to make room.
+const MAX_REMOVALS_PER_CALL: usize = 256;
 
-/// Member and class, 4 bytes each, then the key: one allocation, and look-ups by a slice.
+/// Member and class (4 bytes each), then the key: a single allocation that can be looked up by slice.
 type Id = Box<[u8]>;
-type Hash = foldhash::fast::RandomState;
+type HashState = foldhash::fast::RandomState;
 
-struct UnderWay {
-    print: Fingerprint,
+struct InProgress {
+    fingerprint: Fingerprint,
     run: RunId,
-    /// What is known of an earlier try that may have run.
+    /// The earlier attempts with this key that may have run.
     earlier: Option<SentAttempts>,
 }
 
-struct Settled {
-    print: Fingerprint,
-    at: Time,
-    /// `None` in a lane of served keys: the result was not kept.
+struct Resolved {
+    fingerprint: Fingerprint,
+    resolved_at: Time,
+    /// `None` in a queue of served keys if the result was not stored.
     result: Option<Bytes>,
-    /// Set in a lane of keys that may have run.
+    /// Always set in a queue of keys that may have run.
     sent: Option<SentAttempts>,
 }
 
-type Lane = LinkedHashMap<Id, Settled, Hash>;
+type ExpiryQueue = LinkedHashMap<Id, Resolved, HashState>;
 
 struct Class {
-    rule: Retention,
-    /// Until when a later try may be of a request that a predecessor took.
-    doubt_until: Time,
-    served: Lane,
-    uncertain: Lane,
+    retention: Retention,
+    /// Until then a retry of an unknown key may belong to a request that a previous process sent.
+    reject_unknown_retries_until: Time,
+    served: ExpiryQueue,
+    uncertain: ExpiryQueue,
 }
 
-/// One settled or unfinished key, as a snapshot keeps it.
+/// A resolved or unresolved key, as stored in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whose key.
+    /// The owner of the key.
     pub member: Member,
-    /// Its class.
+    /// The number of the class.
     pub class: u32,
     /// The key.
     pub key: Vec<u8>,
-    /// What was asked for.
+    /// Identifies the content of the request.
     pub fingerprint: Fingerprint,
-    /// When it was settled.
+    /// When the request was resolved; for a request in progress, when the record was made.
     pub resolved_at: Time,
-    /// How: served, or may have run.
+    /// How the request ended: served, or may have run.
     pub resolution: Resolution,
 }
 
-/// What is held, counted.
+/// Accounting of the stored entries.
 #[derive(Default)]
-struct Held {
-    settled: usize,
+struct Usage {
+    resolved: usize,
     bytes: usize,
-    /// Entries of each member, under way and settled.
-    members: HashMap<Member, usize, Hash>,
+    /// Entries of each member, in progress and resolved.
+    by_member: HashMap<Member, usize, HashState>,
 }
 
-impl Held {
-    /// A key comes in.
-    fn enter(&mut self, member: Member, id: usize) {
-        self.bytes += OVERHEAD + id;
-        *self.members.entry(member).or_default() += 1;
+impl Usage {
+    /// Accounts for a new key.
+    fn add(&mut self, member: Member, id_len: usize) {
+        self.bytes += ENTRY_OVERHEAD_BYTES + id_len;
+        *self.by_member.entry(member).or_default() += 1;
     }
 
-    /// A key goes.
-    fn leave(&mut self, member: Member, id: usize) {
-        self.bytes -= OVERHEAD + id;
-        if let Some(count) = self.members.get_mut(&member) {
+    /// Accounts for a removed key.
+    fn remove(&mut self, member: Member, id_len: usize) {
+        self.bytes -= ENTRY_OVERHEAD_BYTES + id_len;
+        if let Some(count) = self.by_member.get_mut(&member) {
             *count -= 1;
             if *count == 0 {
-                self.members.remove(&member);
+                self.by_member.remove(&member);
             }
         }
     }
 
-    /// A settled key goes, and its result.
-    fn drop(&mut self, id: &Id, held: &Settled) {
-        self.settled -= 1;
-        self.bytes -= held.result.as_ref().map_or(0, Bytes::len);
-        self.leave(member_of(id), id.len());
+    /// Accounts for a removed resolved key and its result.
+    fn remove_resolved(&mut self, id: &Id, entry: &Resolved) {
+        self.resolved -= 1;
+        self.bytes -= entry.result.as_ref().map_or(0, Bytes::len);
+        self.remove(member_of(id), id.len());
     }
 }
 
-/// The store.
+/// The idempotency keys of all classes.
 pub struct Store {
     bounds: Bounds,
     classes: Vec<Class>,
-    under_way: HashMap<Id, UnderWay, Hash>,
-    held: Held,
+    in_progress: HashMap<Id, InProgress, HashState>,
+    usage: Usage,
     counts: Counts,
-    /// The identity being looked up.
+    /// Buffer for the id of the current look-up.
     scratch: Vec<u8>,
 }
 
 impl Store {
-    /// An empty store with a rule for each class.
-    pub fn new(bounds: Bounds, rules: Vec<Retention>) -> Store {
+    /// Returns an empty store with these retention times, one per class.
+    pub fn new(bounds: Bounds, retentions: Vec<Retention>) -> Store {
         let mut store = Store {
             bounds,
             classes: Vec::new(),
-            under_way: HashMap::default(),
-            held: Held::default(),
+            in_progress: HashMap::default(),
+            usage: Usage::default(),
             counts: Counts::default(),
             scratch: Vec::new(),
         };
-        rules.into_iter().for_each(|rule| store.add_class(rule));
+        retentions.into_iter().for_each(|retention| store.add_class(retention));
         store
     }
 
-    /// One more class, numbered after those before it.
-    pub fn add_class(&mut self, rule: Retention) {
-        let lane = || LinkedHashMap::with_hasher(Hash::default());
-        let rule = Retention { uncertain_ttl: rule.uncertain_ttl.max(rule.window), ..rule };
-        self.classes.push(Class { rule, doubt_until: Time(0), served: lane(), uncertain: lane() });
+    /// Adds a class; classes are numbered in the order in which they are added.
+    pub fn add_class(&mut self, retention: Retention) {
+        let queue = || LinkedHashMap::with_hasher(HashState::default());
+        let retention =
+            Retention { uncertain_ttl: retention.uncertain_ttl.max(retention.window), ..retention };
+        self.classes.push(Class {
+            retention,
+            reject_unknown_retries_until: Time(0),
+            served: queue(),
+            uncertain: queue(),
+        });
     }
 
-    /// Until then a class's marked later try under an unknown key fails: a predecessor may have sent it
-    /// anywhere.
+    /// Until the given time, makes marked retries of unknown keys of a class fail: a previous process may
+    /// have sent the first attempt to any place.
     pub fn reject_unknown_retries_until(&mut self, class: u32, until: Time) {
         if let Some(class) = self.classes.get_mut(class as usize) {
-            class.doubt_until = until;
+            class.reject_unknown_retries_until = until;
         }
     }
 
-    /// Whether a class is in doubt still: what a predecessor sent may be known to nobody.
+    /// Whether retries of unknown keys still fail for any class, because a previous process may have sent
+    /// requests that this store does not know.
     pub fn rejects_unknown_retries(&self, now: Time) -> bool {
-        self.classes.iter().any(|class| now < class.doubt_until)
+        self.classes.iter().any(|class| now < class.reject_unknown_retries_until)
     }
 
-    /// Keys held.
+    /// The number of keys, in progress and resolved.
     pub fn len(&self) -> usize {
-        self.under_way.len() + self.held.settled
+        self.in_progress.len() + self.usage.resolved
     }
 
-    /// Keys under way.
+    /// The number of keys in progress.
     pub fn in_progress(&self) -> usize {
-        self.under_way.len()
+        self.in_progress.len()
     }
 
-    /// Whether no key is held.
+    /// Whether the store holds no key.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes held: keys, results and an overhead for each.
+    /// The memory used by keys, results and the overhead of each entry, in bytes.
     pub fn bytes(&self) -> usize {
-        self.held.bytes
+        self.usage.bytes
     }
 
-    /// What has been counted so far.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// What a request may do. Where that is to begin, the key is under way as `run` until
-    /// [`resolve`](Store::resolve) ends it.
+    /// Decides on a request with a key. If it may start or be sent again, the key is in progress as `run`
+    /// until [`resolve`](Store::resolve).
     ///
-    /// Guards against a repeat that runs a second time, at another hall above all. Could do harm where a
-    /// client uses one key for two requests: the second gets the first one's answer, unless its body or
-    /// path differs.
-    pub fn admit(&mut self, now: Time, asked: &KeyedRequest, run: RunId) -> Admission {
-        if asked.key.is_empty() || asked.key.len() > self.bounds.max_key_bytes {
+    /// Prevents a repeat from running a second time, in particular at another place. A client that uses one
+    /// key for two requests gets the first result for both, unless their paths or bodies differ.
+    pub fn admit(&mut self, now: Time, request: &KeyedRequest, run: RunId) -> Admission {
+        if request.key.is_empty() || request.key.len() > self.bounds.max_key_bytes {
             return Admission::InvalidKey;
         }
-        let Some(class) = self.classes.get_mut(asked.class as usize) else { return Admission::InvalidKey };
-        identity(&mut self.scratch, asked.member, asked.class, asked.key);
+        let Some(class) = self.classes.get_mut(request.class as usize) else { return Admission::InvalidKey };
+        write_id(&mut self.scratch, request.member, request.class, request.key);
         let id = self.scratch.as_slice();
-        if let Some(held) = self.under_way.get(id) {
-            if held.print != asked.fingerprint {
+        if let Some(entry) = self.in_progress.get(id) {
+            if entry.fingerprint != request.fingerprint {
                 self.counts.conflicts += 1;
                 return Admission::Conflict;
             }
             self.counts.joined += 1;
-            return Admission::Join(held.run);
+            return Admission::Join(entry.run);
         }
-        let rule = class.rule;
-        if let Some(held) = class.served.get(id).filter(|held| now < held.at + rule.window) {
-            return if held.print != asked.fingerprint {
+        let retention = class.retention;
+        if let Some(entry) = class.served.get(id).filter(|entry| now < entry.resolved_at + retention.window) {
+            return if entry.fingerprint != request.fingerprint {
                 self.counts.conflicts += 1;
                 Admission::Conflict
-            } else if let Some(result) = &held.result {
+            } else if let Some(result) = &entry.result {
                 self.counts.replayed += 1;
                 Admission::Replay(result.clone())
             } else {
@@ -207,220 +212,228 @@
                 Admission::ResultNotStored
             };
         }
-        if let Some(held) = class.uncertain.get(id).filter(|held| now < held.at + rule.uncertain_ttl) {
-            if held.print != asked.fingerprint {
+        if let Some(entry) =
+            class.uncertain.get(id).filter(|entry| now < entry.resolved_at + retention.uncertain_ttl)
+        {
+            if entry.fingerprint != request.fingerprint {
                 self.counts.conflicts += 1;
                 return Admission::Conflict;
             }
-            let sent = held.sent.filter(|sent| sent.place.is_some() && now < sent.first_at + rule.window);
+            let sent =
+                entry.sent.filter(|sent| sent.place.is_some() && now < sent.first_at + retention.window);
             let Some(sent) = sent else {
                 self.counts.not_repeatable += 1;
                 return Admission::NotRepeatable;
             };
-            // From settled to under way: it takes no more room than it has.
-            let (id, held) = class.uncertain.remove_entry(id).expect("looked up above");
-            self.held.settled -= 1;
+            // The entry moves from resolved to in progress; its memory use stays the same.
+            let (id, entry) = class.uncertain.remove_entry(id).expect("looked up above");
+            self.usage.resolved -= 1;
             self.counts.resent += 1;
-            self.under_way.insert(id, UnderWay { print: held.print, run, earlier: Some(sent) });
+            self.in_progress
+                .insert(id, InProgress { fingerprint: entry.fingerprint, run, earlier: Some(sent) });
             return Admission::Resend(sent);
         }
-        if asked.retry && now < class.doubt_until {
+        if request.retry && now < class.reject_unknown_retries_until {
             self.counts.unknown_retries += 1;
             return Admission::UnknownRetry;
         }
-        let need = OVERHEAD + id.len();
-        if let Some(wait) = self.no_room(now, asked.member, need) {
+        let need = ENTRY_OVERHEAD_BYTES + id.len();
+        if let Some(wait) = self.refusal_delay(now, request.member, need) {
             return Admission::Full(wait);
         }
-        // It may still stand in a lane, expired.
-        let class = &mut self.classes[asked.class as usize];
-        for lane in [&mut class.served, &mut class.uncertain] {
-            if let Some((id, held)) = lane.remove_entry(self.scratch.as_slice()) {
-                self.held.drop(&id, &held);
+        // An expired entry of the key may still be queued.
+        let class = &mut self.classes[request.class as usize];
+        for queue in [&mut class.served, &mut class.uncertain] {
+            if let Some((id, entry)) = queue.remove_entry(self.scratch.as_slice()) {
+                self.usage.remove_resolved(&id, &entry);
             }
         }
         self.counts.started += 1;
-        self.held.enter(asked.member, self.scratch.len());
-        let begun = UnderWay { print: asked.fingerprint, run, earlier: None };
-        self.under_way.insert(self.scratch.as_slice().into(), begun);
+        self.usage.add(request.member, self.scratch.len());
+        let entry = InProgress { fingerprint: request.fingerprint, run, earlier: None };
+        self.in_progress.insert(self.scratch.as_slice().into(), entry);
         Admission::New
     }
 
-    /// Ends the run of a key; one that is not under way is passed over.
-    pub fn resolve(&mut self, now: Time, member: Member, class: u32, key: &[u8], fate: Resolution) {
-        identity(&mut self.scratch, member, class, key);
-        let Some((id, held)) = self.under_way.remove_entry(self.scratch.as_slice()) else { return };
-        let (result, sent) = match (fate, held.earlier) {
+    /// Records how the request of a key ended. Does nothing if the key is not in progress.
+    pub fn resolve(&mut self, now: Time, member: Member, class: u32, key: &[u8], resolution: Resolution) {
+        write_id(&mut self.scratch, member, class, key);
+        let Some((id, entry)) = self.in_progress.remove_entry(self.scratch.as_slice()) else { return };
+        let (result, sent) = match (resolution, entry.earlier) {
             (Resolution::Served(result), _) => (Some(result), None),
             (Resolution::MayHaveRun(sent), earlier) => {
                 (None, Some(earlier.map_or(sent, |earlier| earlier.merge(sent))))
             }
-            // This try never ran, but the earlier one may have.
+            // This attempt never ran, but an earlier one may have.
             (Resolution::NeverRan, Some(earlier)) => (None, Some(earlier)),
             (Resolution::NeverRan, None) => {
-                self.held.leave(member, id.len());
+                self.usage.remove(member, id.len());
                 return;
             }
         };
-        self.keep(now, id, Settled { print: held.print, at: now, result, sent });
+        self.insert_resolved(
+            now,
+            id,
+            Resolved { fingerprint: entry.fingerprint, resolved_at: now, result, sent },
+        );
     }
 
-    fn keep(&mut self, now: Time, id: Id, mut settled: Settled) {
-        if let Some(result) = &settled.result {
+    fn insert_resolved(&mut self, now: Time, id: Id, mut entry: Resolved) {
+        if let Some(result) = &entry.result {
             let size = result.len();
             if size > self.bounds.max_result_bytes || !self.fits(now, 0, size) {
                 self.counts.results_dropped += 1;
-                settled.result = None;
+                entry.result = None;
             } else {
-                self.held.bytes += size;
+                self.usage.bytes += size;
             }
         }
-        self.held.settled += 1;
+        self.usage.resolved += 1;
         let class = &mut self.classes[class_of(&id) as usize];
-        let lane = if settled.sent.is_some() { &mut class.uncertain } else { &mut class.served };
-        lane.insert(id, settled);
+        let queue = if entry.sent.is_some() { &mut class.uncertain } else { &mut class.served };
+        queue.insert(id, entry);
     }
 
-    /// Whether there is room for so many more entries and bytes, once what may go has gone.
+    /// Whether this many more entries and bytes fit, after evicting resolved keys that are outside their
+    /// window.
     fn fits(&mut self, now: Time, entries: usize, bytes: usize) -> bool {
         let fit = |store: &Store| {
             store.len() + entries <= store.bounds.max_entries
                 && store.bytes() + bytes <= store.bounds.max_bytes
         };
-        for _ in 0..STRIDE {
+        for _ in 0..MAX_REMOVALS_PER_CALL {
             if fit(self) {
                 return true;
             }
-            if !self.drop_oldest(now) {
+            if !self.evict_oldest(now) {
                 return false;
             }
         }
         fit(self)
     }
 
-    /// When a newcomer that finds no room may come back.
-    fn no_room(&mut self, now: Time, member: Member, need: usize) -> Option<Span> {
+    /// Returns the retry delay for a new key if there is no room for it.
+    fn refusal_delay(&mut self, now: Time, member: Member, need: usize) -> Option<Span> {
         self.expire(now, 2);
-        let held = |store: &Store| store.held.members.get(&member).copied().unwrap_or(0);
-        if held(self) >= self.bounds.max_entries_per_member {
-            self.expire(now, STRIDE);
-            if held(self) >= self.bounds.max_entries_per_member {
+        let member_entries = |store: &Store| store.usage.by_member.get(&member).copied().unwrap_or(0);
+        if member_entries(self) >= self.bounds.max_entries_per_member {
+            self.expire(now, MAX_REMOVALS_PER_CALL);
+            if member_entries(self) >= self.bounds.max_entries_per_member {
                 self.counts.member_full += 1;
-                return Some(self.wait(now));
+                return Some(self.time_to_room(now));
             }
         }
         if !self.fits(now, 1, need) {
             self.counts.full += 1;
-            return Some(self.wait(now));
+            return Some(self.time_to_room(now));
         }
         None
     }
 
-    /// The settled key whose window ends first: when, its class, and its lane (0: served).
-    fn first_end(&self) -> Option<(Time, usize, usize)> {
+    /// Finds the resolved key whose window ends first: its end, its class, and its queue (0: served, 1:
+    /// uncertain).
+    fn first_window_end(&self) -> Option<(Time, usize, usize)> {
         let ends = self.classes.iter().enumerate().flat_map(|(number, class)| {
             let fronts = [class.served.front(), class.uncertain.front()];
-            let end = move |(_, held): (&Id, &Settled)| held.at + class.rule.window;
+            let end = move |(_, entry): (&Id, &Resolved)| entry.resolved_at + class.retention.window;
             fronts.into_iter().enumerate().filter_map(move |(l, f)| f.map(|f| (end(f), number, l)))
         });
         ends.min()
     }
 
-    /// Until the oldest settled key is outside its window.
-    fn wait(&self, now: Time) -> Span {
-        let left = self.first_end().map_or(Span(0), |(end, ..)| end - now);
+    /// The time until the first window of a resolved key ends; `hold_off` if there is none or it has ended.
+    fn time_to_room(&self, now: Time) -> Span {
+        let left = self.first_window_end().map_or(Span(0), |(end, ..)| end - now);
         if left.0 == 0 { self.bounds.hold_off } else { left }
     }
 
-    /// Drops what nobody may ask for any more, so many at the most; how many it was.
-    pub fn expire(&mut self, now: Time, most: usize) -> usize {
-        let mut dropped = 0;
+    /// Removes up to `max` expired keys; returns the number removed.
+    pub fn expire(&mut self, now: Time, max: usize) -> usize {
+        let mut removed = 0;
         for class in &mut self.classes {
-            let Retention { window, uncertain_ttl: keep } = class.rule;
-            for (lane, kept) in [(&mut class.served, window), (&mut class.uncertain, keep)] {
-                while dropped < most && lane.front().is_some_and(|(_, held)| held.at + kept <= now) {
-                    let (id, held) = lane.pop_front().expect("looked at above");
-                    self.held.drop(&id, &held);
-                    dropped += 1;
+            let Retention { window, uncertain_ttl } = class.retention;
+            for (queue, lifetime) in [(&mut class.served, window), (&mut class.uncertain, uncertain_ttl)] {
+                while removed < max
+                    && queue.front().is_some_and(|(_, entry)| entry.resolved_at + lifetime <= now)
+                {
+                    let (id, entry) = queue.pop_front().expect("inspected above");
+                    self.usage.remove_resolved(&id, &entry);
+                    removed += 1;
                 }
             }
         }
-        dropped
+        removed
     }
 
-    /// Drops the settled key whose window ended first; none is inside its window.
-    fn drop_oldest(&mut self, now: Time) -> bool {
-        let Some((_, number, lane)) = self.first_end().filter(|(end, ..)| *end <= now) else { return false };
-        let class = &mut self.classes[number];
-        let lane = if lane == 0 { &mut class.served } else { &mut class.uncertain };
-        let (id, held) = lane.pop_front().expect("its front was looked at");
-        if held.sent.is_some() {
+    /// Evicts the resolved key whose window ended first; returns whether there was one.
+    fn evict_oldest(&mut self, now: Time) -> bool {
+        let Some((_, class, queue)) = self.first_window_end().filter(|(end, ..)| *end <= now) else {
+            return false;
+        };
+        let class = &mut self.classes[class];
+        let queue = if queue == 0 { &mut class.served } else { &mut class.uncertain };
+        let (id, entry) = queue.pop_front().expect("its front was just inspected");
+        if entry.sent.is_some() {
             self.counts.evicted += 1;
         }
-        self.held.drop(&id, &held);
+        self.usage.remove_resolved(&id, &entry);
         true
     }
 
-    /// All that a successor should know, oldest first. What is under way may have been sent since anywhere
-    /// that `sent` does not tell of.
+    /// Returns records of all keys for a snapshot, oldest first. `sent` returns the attempts of a request in
+    /// progress; a request without any is recorded as sent to an unknown place, since it may be sent after
+    /// this call.
     pub fn records(&self, now: Time, sent: impl Fn(RunId) -> Option<SentAttempts>) -> Vec<Record> {
-        let record = |id: &Id, print, at, fate| {
+        let record = |id: &Id, fingerprint, resolved_at, resolution| {
             let (member, class) = (member_of(id), class_of(id));
-            Record {
-                member,
-                class,
-                key: id[8..].to_vec(),
-                fingerprint: print,
-                resolved_at: at,
-                resolution: fate,
-            }
+            Record { member, class, key: id[8..].to_vec(), fingerprint, resolved_at, resolution }
         };
         let mut all = Vec::with_capacity(self.len());
         for class in &self.classes {
-            for (id, held) in class.served.iter().chain(&class.uncertain) {
-                let fate = match (&held.sent, &held.result) {
+            for (id, entry) in class.served.iter().chain(&class.uncertain) {
+                let resolution = match (&entry.sent, &entry.result) {
                     (Some(sent), _) => Resolution::MayHaveRun(*sent),
                     (None, Some(result)) => Resolution::Served(result.clone()),
-                    // Without its result it is as good as spent: a repeat must not run.
-                    (None, None) => Resolution::MayHaveRun(SentAttempts::single(None, held.at)),
+                    // The result was not stored, so a repeat must fail: recorded with an unknown place.
+                    (None, None) => Resolution::MayHaveRun(SentAttempts::single(None, entry.resolved_at)),
                 };
-                all.push(record(id, held.print, held.at, fate));
+                all.push(record(id, entry.fingerprint, entry.resolved_at, resolution));
             }
         }
-        for (id, held) in &self.under_way {
+        for (id, entry) in &self.in_progress {
             let unknown = SentAttempts::single(None, now);
-            let sent = match (held.earlier, sent(held.run)) {
+            let sent = match (entry.earlier, sent(entry.run)) {
                 (Some(earlier), Some(sent)) => earlier.merge(sent),
                 (earlier, sent) => earlier.or(sent).unwrap_or(unknown),
             };
-            all.push(record(id, held.print, now, Resolution::MayHaveRun(sent)));
+            all.push(record(id, entry.fingerprint, now, Resolution::MayHaveRun(sent)));
         }
-        // In an order that does not hang on the tables' seeds.
+        // A deterministic order, independent of the hash seeds.
         let order = |r: &Record| (r.resolved_at, r.member, r.class);
         all.sort_by(|a, b| order(a).cmp(&order(b)).then_with(|| a.key.cmp(&b.key)));
         all
     }
 
-    /// Takes a predecessor's records, oldest first. Those that have expired, or are of a class that there
-    /// is not, are passed over; where there is no room for all, the oldest are. How many were taken.
+    /// Loads the records of a previous process; returns the number loaded. Skips expired records and records
+    /// of unknown classes; if not all fit, skips the oldest.
     pub fn restore(&mut self, now: Time, mut records: Vec<Record>) -> usize {
         records.sort_by_key(|record| record.resolved_at);
-        let mut taken = 0;
+        let mut loaded = 0;
         let room = self.bounds.max_entries.saturating_sub(self.len());
         let skip = records.len().saturating_sub(room);
         for record in records.into_iter().skip(skip) {
-            let Some(rule) = self.classes.get(record.class as usize).map(|class| class.rule) else {
+            let Some(retention) = self.classes.get(record.class as usize).map(|class| class.retention) else {
                 continue;
             };
-            // A clock that was set back must not make a key last for ever.
-            let at = record.resolved_at.min(now);
-            let kept = if matches!(record.resolution, Resolution::Served(_)) {
-                rule.window
+            // If the clock was set back, a time in the future must not extend the lifetime of a key.
+            let resolved_at = record.resolved_at.min(now);
+            let lifetime = if matches!(record.resolution, Resolution::Served(_)) {
+                retention.window
             } else {
-                rule.uncertain_ttl
+                retention.uncertain_ttl
             };
             let key = record.key.as_slice();
-            if at + kept <= now || key.is_empty() || key.len() > self.bounds.max_key_bytes {
+            if resolved_at + lifetime <= now || key.is_empty() || key.len() > self.bounds.max_key_bytes {
                 continue;
             }
             let (result, sent) = match record.resolution {
@@ -428,10 +441,10 @@
                 Resolution::MayHaveRun(sent) => (None, Some(sent)),
                 Resolution::NeverRan => continue,
             };
-            identity(&mut self.scratch, record.member, record.class, key);
-            let need = OVERHEAD + self.scratch.len();
-            if self.held.bytes + need > self.bounds.max_bytes
-                || self.under_way.contains_key(self.scratch.as_slice())
+            write_id(&mut self.scratch, record.member, record.class, key);
+            let need = ENTRY_OVERHEAD_BYTES + self.scratch.len();
+            if self.usage.bytes + need > self.bounds.max_bytes
+                || self.in_progress.contains_key(self.scratch.as_slice())
             {
                 continue;
             }
@@ -440,20 +453,24 @@
             if known {
                 continue;
             }
-            self.held.enter(record.member, self.scratch.len());
+            self.usage.add(record.member, self.scratch.len());
             let id: Id = self.scratch.as_slice().into();
-            self.keep(now, id, Settled { print: record.fingerprint, at, result, sent });
-            taken += 1;
+            self.insert_resolved(
+                now,
+                id,
+                Resolved { fingerprint: record.fingerprint, resolved_at, result, sent },
+            );
+            loaded += 1;
         }
-        taken
+        loaded
     }
 }
 
-fn identity(into: &mut Vec<u8>, member: Member, class: u32, key: &[u8]) {
-    into.clear();
-    into.extend_from_slice(&member.0.to_le_bytes());
-    into.extend_from_slice(&class.to_le_bytes());
-    into.extend_from_slice(key);
+fn write_id(buffer: &mut Vec<u8>, member: Member, class: u32, key: &[u8]) {
+    buffer.clear();
+    buffer.extend_from_slice(&member.0.to_le_bytes());
+    buffer.extend_from_slice(&class.to_le_bytes());
+    buffer.extend_from_slice(key);
 }
 
 fn member_of(id: &Id) -> Member {
--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -1,5 +1,5 @@
-//! The store against a plain model: a list that is searched from end to end, with the rules written down
-//! again in the shortest way. Random steps, a fixed seed, over a million of them in all.
+//! Property test of the store against a simple model: a list with linear search and the same rules. More than
+//! a million random steps in total, with a fixed seed.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -11,28 +11,28 @@
 };
 
 const WINDOW: [u64; 2] = [100, 40];
-const KEEP: [u64; 2] = [250, 40];
-const ENTRIES: usize = 12;
-const OF_MEMBER: usize = 8;
-const BYTES: usize = 4000;
-const RESULT: usize = 300;
-const KEY: usize = 20;
+const UNCERTAIN_TTL: [u64; 2] = [250, 40];
+const MAX_ENTRIES: usize = 12;
+const MAX_PER_MEMBER: usize = 8;
+const MAX_BYTES: usize = 4000;
+const MAX_RESULT: usize = 300;
+const MAX_KEY: usize = 20;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { member: u32, class: u32, key: u8, print: u8, retry: bool },
-    Settle { of: prop::sample::Index, fate: u8, size: usize },
+    Admit { member: u32, class: u32, key: u8, fingerprint: u8, retry: bool },
+    Resolve { pick: prop::sample::Index, kind: u8, size: usize },
     Pass(u64),
     Expire,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..3u32, 0..2u32, 0..8u8, 0..12u8, any::<bool>()).prop_map(|(member, class, key, print, retry)| {
-            Step::Ask { member, class, key, print: u8::from(print == 0), retry }
+        6 => (0..3u32, 0..2u32, 0..8u8, 0..12u8, any::<bool>()).prop_map(|(member, class, key, fingerprint, retry)| {
+            Step::Admit { member, class, key, fingerprint: u8::from(fingerprint == 0), retry }
         }),
         4 => (any::<prop::sample::Index>(), 0..5u8, 0..400usize)
-            .prop_map(|(of, fate, size)| Step::Settle { of, fate, size }),
+            .prop_map(|(pick, kind, size)| Step::Resolve { pick, kind, size }),
         2 => (1..60u64).prop_map(Step::Pass),
         1 => Just(Step::Expire),
     ]
@@ -50,7 +50,7 @@
     member: u32,
     class: u32,
     key: Vec<u8>,
-    print: u8,
+    fingerprint: u8,
     state: State,
 }
 
@@ -62,9 +62,9 @@
         }
     }
 
-    fn kept(&self, now: u64) -> bool {
+    fn is_retained(&self, now: u64) -> bool {
         match self.state {
-            State::MayHaveRun { at, .. } => now < at + KEEP[self.class as usize],
+            State::MayHaveRun { at, .. } => now < at + UNCERTAIN_TTL[self.class as usize],
             _ => self.in_window(now),
         }
     }
@@ -75,30 +75,30 @@
     now: u64,
     runs: u64,
     entries: Vec<Entry>,
-    /// Keys that the store may have dropped: outside their windows, while it was full.
+    /// New keys that were refused because the store was full.
     refused: usize,
 }
 
 fn key(number: u8) -> Vec<u8> {
-    // Of every length that counts: none, one byte, the longest, one too many, and odd bytes.
+    // Boundary lengths (empty, one byte, longest, one byte too long) and arbitrary bytes.
     match number {
         0 => vec![],
         1 => vec![0],
-        2 => vec![0xff; KEY],
-        3 => vec![7; KEY + 1],
+        2 => vec![0xff; MAX_KEY],
+        3 => vec![7; MAX_KEY + 1],
         n => vec![n, b'\n', 0xc3],
     }
 }
 
 impl World {
     fn new() -> World {
-        let rule = |n: usize| Retention { window: Span(WINDOW[n]), uncertain_ttl: Span(KEEP[n]) };
+        let rule = |n: usize| Retention { window: Span(WINDOW[n]), uncertain_ttl: Span(UNCERTAIN_TTL[n]) };
         let bounds = Bounds {
-            max_entries: ENTRIES,
-            max_bytes: BYTES,
-            max_result_bytes: RESULT,
-            max_key_bytes: KEY,
-            max_entries_per_member: OF_MEMBER,
+            max_entries: MAX_ENTRIES,
+            max_bytes: MAX_BYTES,
+            max_result_bytes: MAX_RESULT,
+            max_key_bytes: MAX_KEY,
+            max_entries_per_member: MAX_PER_MEMBER,
             hold_off: Span(17),
         };
         let mut store = Store::new(bounds, vec![rule(0), rule(1)]);
@@ -107,56 +107,56 @@
         World { store, now: 1000, runs: 0, entries: Vec::new(), refused: 0 }
     }
 
-    fn take(&mut self, step: Step) {
+    fn perform(&mut self, step: Step) {
         match step {
-            Step::Ask { member, class, key: number, print, retry } => {
+            Step::Admit { member, class, key: number, fingerprint, retry } => {
                 let key = key(number);
                 self.runs += 1;
-                let asked = KeyedRequest {
+                let request = KeyedRequest {
                     member: Member(member),
                     class,
                     key: &key,
-                    fingerprint: Fingerprint([print; 16]),
+                    fingerprint: Fingerprint([fingerprint; 16]),
                     retry,
                 };
-                let got = self.store.admit(Time(self.now), &asked, RunId(self.runs));
-                self.check_ask(&asked, print, got);
+                let got = self.store.admit(Time(self.now), &request, RunId(self.runs));
+                self.check_admission(&request, fingerprint, got);
             }
-            Step::Settle { of, fate, size } => self.settle(|n| of.index(n), fate, size),
+            Step::Resolve { pick, kind, size } => self.resolve(|n| pick.index(n), kind, size),
             Step::Pass(time) => self.now += time,
             Step::Expire => {
                 self.store.expire(Time(self.now), 3);
             }
         }
         let in_window = self.entries.iter().filter(|e| e.in_window(self.now)).count();
-        assert!(self.store.len() >= in_window, "a key inside its window is lost");
-        assert!(self.store.len() <= ENTRIES && self.store.bytes() <= BYTES, "over its bounds");
+        assert!(self.store.len() >= in_window, "a key inside its window was lost");
+        assert!(self.store.len() <= MAX_ENTRIES && self.store.bytes() <= MAX_BYTES, "over its bounds");
     }
 
-    fn check_ask(&mut self, asked: &KeyedRequest, print: u8, got: Admission) {
+    fn check_admission(&mut self, request: &KeyedRequest, fingerprint: u8, got: Admission) {
         let now = self.now;
-        if asked.key.is_empty() || asked.key.len() > KEY {
+        if request.key.is_empty() || request.key.len() > MAX_KEY {
             assert_eq!(got, Admission::InvalidKey);
             return;
         }
-        let same = |e: &Entry| (e.member, e.class, &*e.key) == (asked.member.0, asked.class, asked.key);
-        let at = self.entries.iter().position(same).filter(|&at| self.entries[at].kept(now));
+        let same = |e: &Entry| (e.member, e.class, &*e.key) == (request.member.0, request.class, request.key);
+        let at = self.entries.iter().position(same).filter(|&at| self.entries[at].is_retained(now));
         let new = Entry {
-            member: asked.member.0,
-            class: asked.class,
-            key: asked.key.to_vec(),
-            print,
+            member: request.member.0,
+            class: request.class,
+            key: request.key.to_vec(),
+            fingerprint,
             state: State::UnderWay { run: self.runs, earlier: None },
         };
         if let Some(at) = at {
             let (droppable, entry) = (!self.entries[at].in_window(now), &mut self.entries[at]);
             if droppable && matches!(got, Admission::New | Admission::Full(_) | Admission::UnknownRetry) {
-                // It was dropped for want of room, which only a key outside its window may be.
+                // The store evicted it to make room, which is allowed only outside the window.
                 self.entries.remove(at);
-                return self.check_new(asked.retry, new, got);
+                return self.check_new(request.retry, new, got);
             }
             let expected = match &entry.state {
-                _ if entry.print != print => Admission::Conflict,
+                _ if entry.fingerprint != fingerprint => Admission::Conflict,
                 State::UnderWay { run, .. } => Admission::Join(RunId(*run)),
                 State::Served { result: Some(result), .. } => Admission::Replay(result.clone()),
                 State::Served { result: None, .. } => Admission::ResultNotStored,
@@ -174,7 +174,7 @@
             return;
         }
         self.entries.retain(|e| !same(e));
-        self.check_new(asked.retry, new, got);
+        self.check_new(request.retry, new, got);
     }
 
     fn check_new(&mut self, retry: bool, new: Entry, got: Admission) {
@@ -183,30 +183,33 @@
             assert_eq!(got, Admission::UnknownRetry);
             return;
         }
-        let live = |e: &&Entry| e.in_window(now);
+        let in_window = |e: &&Entry| e.in_window(now);
         let (all, of_member) = (
-            self.entries.iter().filter(live).count(),
-            self.entries.iter().filter(live).filter(|e| e.member == new.member).count(),
+            self.entries.iter().filter(in_window).count(),
+            self.entries.iter().filter(in_window).filter(|e| e.member == new.member).count(),
         );
         match got {
             Admission::New => {
-                assert!(all < ENTRIES && of_member < OF_MEMBER, "a newcomer where there is no room");
+                assert!(
+                    all < MAX_ENTRIES && of_member < MAX_PER_MEMBER,
+                    "accepted a new key although there is no room"
+                );
                 self.entries.push(new);
             }
             Admission::Full(wait) => {
-                assert!(wait.0 > 0, "refused without when to come back");
-                // Entries that may have run count against their member until they expire.
-                let kept = |e: &&Entry| e.kept(now) && e.member == new.member;
-                let member = self.entries.iter().filter(kept).count() >= OF_MEMBER;
-                let full = all >= ENTRIES || self.store.bytes() + 400 > BYTES;
-                assert!(member || full, "refused though there is room");
+                assert!(wait.0 > 0, "refused without a retry delay");
+                // Entries that may have run count towards the limit of their member until they expire.
+                let retained_of_member = |e: &&Entry| e.is_retained(now) && e.member == new.member;
+                let member = self.entries.iter().filter(retained_of_member).count() >= MAX_PER_MEMBER;
+                let full = all >= MAX_ENTRIES || self.store.bytes() + 400 > MAX_BYTES;
+                assert!(member || full, "refused although there is room");
                 self.refused += 1;
             }
             other => panic!("a new key: {other:?}"),
         }
     }
 
-    fn settle(&mut self, pick: impl Fn(usize) -> usize, fate: u8, size: usize) {
+    fn resolve(&mut self, pick: impl Fn(usize) -> usize, kind: u8, size: usize) {
         let under_way: Vec<usize> = (0..self.entries.len())
             .filter(|&n| matches!(self.entries[n].state, State::UnderWay { .. }))
             .collect();
@@ -216,20 +219,20 @@
         let (now, at) = (self.now, under_way[pick(under_way.len())]);
         let entry = &mut self.entries[at];
         let State::UnderWay { earlier, .. } = entry.state else { unreachable!("filtered above") };
-        let place = Some(Place { zone: u32::from(fate), cell: 0 });
-        let sent = SentAttempts::single(if fate == 3 { None } else { place }, Time(now.saturating_sub(30)));
-        let told = match fate {
-            0 | 1 => Resolution::Served(vec![fate; size].into()),
+        let place = Some(Place { zone: u32::from(kind), cell: 0 });
+        let sent = SentAttempts::single(if kind == 3 { None } else { place }, Time(now.saturating_sub(30)));
+        let resolution = match kind {
+            0 | 1 => Resolution::Served(vec![kind; size].into()),
             2 | 3 => Resolution::MayHaveRun(sent),
             _ => Resolution::NeverRan,
         };
         let (member, class, key) = (Member(entry.member), entry.class, entry.key.clone());
         let before = self.store.counts().results_dropped;
-        self.store.resolve(Time(now), member, class, &key, told.clone());
+        self.store.resolve(Time(now), member, class, &key, resolution.clone());
         let dropped = self.store.counts().results_dropped > before;
-        match (told, earlier) {
+        match (resolution, earlier) {
             (Resolution::Served(result), _) => {
-                assert!(dropped || result.len() <= RESULT);
+                assert!(dropped || result.len() <= MAX_RESULT);
                 entry.state = State::Served { at: now, result: (!dropped).then_some(result) };
             }
             (Resolution::MayHaveRun(sent), earlier) => {
@@ -254,14 +257,14 @@
     })]
 
     #[test]
-    fn the_store_does_what_the_plain_model_says(steps in prop::collection::vec(step(), 150..200)) {
+    fn the_store_behaves_like_the_model(steps in prop::collection::vec(step(), 150..200)) {
         let mut world = World::new();
         for step in steps {
-            world.take(step);
+            world.perform(step);
         }
-        // Once everything has ended and expired, nothing is left: no entry, no byte, no member.
+        // Once all keys are resolved and expired, no entry and no byte may be left.
         while world.entries.iter().any(|e| matches!(e.state, State::UnderWay { .. })) {
-            world.settle(|_| 0, 0, 10);
+            world.resolve(|_| 0, 0, 10);
         }
         world.now += 1000;
         world.store.expire(Time(world.now), usize::MAX);
