--- a/keys/tests/cases.rs
+++ b/keys/tests/cases.rs
@@ -107,9 +107,8 @@
     );
     // The window starts with the first attempt and ends while the key is still stored.
     let end = 100 + WINDOW;
-    assert!(
-        matches!(store.admit(Time(end - 1), &request(0, b"k"), RunId(4)), Admission::Resend(s) if s.count == 2)
-    );
+    assert!(matches!(store.admit(Time(end - 1), &request(0, b"k"), RunId(4)),
+            Admission::Resend(s) if s.count == 2));
     store.resolve(Time(end - 1), Member(0), 0, b"k", Resolution::NeverRan);
     assert_eq!(store.admit(Time(end), &request(0, b"k"), RunId(5)), Admission::NotRepeatable);
     assert_eq!(store.admit(Time(end - 1 + 3 * WINDOW), &request(0, b"k"), RunId(6)), Admission::New);
--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -28,9 +28,11 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..3u32, 0..2u32, 0..8u8, 0..12u8, any::<bool>()).prop_map(|(member, class, key, fingerprint, retry)| {
-            Step::Admit { member, class, key, fingerprint: u8::from(fingerprint == 0), retry }
-        }),
+        6 => (0..3u32, 0..2u32, 0..8u8, 0..12u8, any::<bool>()).prop_map(
+            |(member, class, key, fingerprint, retry)| {
+                Step::Admit { member, class, key, fingerprint: u8::from(fingerprint == 0), retry }
+            }
+        ),
         4 => (any::<prop::sample::Index>(), 0..5u8, 0..400usize)
             .prop_map(|(pick, kind, size)| Step::Resolve { pick, kind, size }),
         2 => (1..60u64).prop_map(Step::Pass),
--- a/store/benches/engines.rs
+++ b/store/benches/engines.rs
@@ -1,14 +1,15 @@
-//! Which engine: redb and fjall side by side, on this machine's disk. Prints synced commits a second for one,
-//! 16 and 256 records a commit, bytes on the disk a record, and the time to open and read it all again.
+//! Compares the storage engines redb and fjall on the disk of this machine. Prints synced commits per second
+//! with 1, 16 and 256 records per commit, bytes on disk per record, and the time to reopen the file and read
+//! all records.
 //!
-//! `cargo bench -p sablerun-store`; a folder for the files may be named by STORE_BENCH_FOLDER.
+//! Run with `cargo bench -p sablerun-store`. STORE_BENCH_FOLDER sets the folder for the files.
 
 use redb::{ReadableDatabase, ReadableTable};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const RECORD: usize = 400;
-const TIME: Duration = Duration::from_secs(2);
+const RECORD_BYTES: usize = 400;
+const DURATION: Duration = Duration::from_secs(2);
 
 trait Engine {
     fn commit(&mut self, records: &[(u64, Vec<u8>)]);
@@ -87,14 +88,14 @@
                 "redb" => Box::new(Redb(redb::Database::create(folder.path().join("redb")).unwrap())),
                 _ => Box::new(Fjall::open(&folder.path().join("fjall"))),
             };
-            let mut random = fastrand::Rng::with_seed(7);
+            let mut rng = fastrand::Rng::with_seed(7);
             let (mut id, mut commits, begun) = (0, 0, Instant::now());
-            while begun.elapsed() < TIME {
+            while begun.elapsed() < DURATION {
                 let records: Vec<_> = (0..batch)
                     .map(|_| {
                         id += 1;
-                        // Half of it text that repeats, as jobs are.
-                        let record = (0..RECORD).map(|n| if n % 2 == 0 { b'j' } else { random.u8(..) });
+                        // Half of the bytes are repetitive, as in typical jobs.
+                        let record = (0..RECORD_BYTES).map(|n| if n % 2 == 0 { b'j' } else { rng.u8(..) });
                         (id, record.collect())
                     })
                     .collect();
@@ -104,10 +105,11 @@
             let rate = f64::from(commits) / begun.elapsed().as_secs_f64();
             let opened = Instant::now();
             let read = engine.read_all(folder.path());
-            assert_eq!(read, id as usize * RECORD);
-            let (took, held) = (opened.elapsed().as_secs_f64() * 1e3, size(folder.path()) as f64 / id as f64);
+            assert_eq!(read, id as usize * RECORD_BYTES);
+            let (reopen_ms, record_bytes) =
+                (opened.elapsed().as_secs_f64() * 1e3, size(folder.path()) as f64 / id as f64);
             println!(
-                "{name:<6} {batch:>9} {rate:>12.0} {:>12.0} {held:>14.0} {took:>10.1}",
+                "{name:<6} {batch:>9} {rate:>12.0} {:>12.0} {record_bytes:>14.0} {reopen_ms:>10.1}",
                 rate * f64::from(batch)
             );
         }
--- a/store/src/committer.rs
+++ b/store/src/committer.rs
@@ -1,55 +1,55 @@
-//! Group commit: steps are queued, and a thread of its own makes as many of them durable in one commit as
-//! wait by then. It owns the queue's bound and the order: a step is told to be durable only after all
-//! before it. After a commit that failed it makes nothing durable any more.
+//! Group commit: steps are queued, and a separate thread writes all waiting steps in one commit. Steps become
+//! durable in order. After a failed commit the thread ends and nothing further is written.
 
 use crate::{JobStore, StoreError};
 use sablerun_ledger::Change;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
-/// What became of the steps up to a number.
+/// The result of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// All up to this one are durable.
+    /// All steps up to this number are durable.
     Durable(u64),
-    /// A commit failed: of the steps after the last that was told, none may be relied on. The store is to
-    /// be opened anew.
+    /// A commit failed. It is unknown whether any step after the last reported one is durable; the store must
+    /// be reopened.
     Failed(StoreError),
 }
 
-/// A thread that commits.
+/// The queue of a commit thread.
 pub struct Committer {
     queue: SyncSender<(u64, Vec<Change>)>,
     thread: JoinHandle<()>,
-    next: u64,
+    next_step: u64,
 }
 
 impl Committer {
-    /// Starts it with a queue of so many steps; `told` hears the outcomes, on that thread.
+    /// Starts the thread. The queue holds up to `queue_len` steps; a commit takes further steps until it
+    /// holds `max_changes` changes. `on_outcome` is called on the thread.
     pub fn start(
         store: impl JobStore + 'static,
-        queue: usize,
-        most: usize,
-        told: impl FnMut(CommitOutcome) + Send + 'static,
+        queue_len: usize,
+        max_changes: usize,
+        on_outcome: impl FnMut(CommitOutcome) + Send + 'static,
     ) -> Committer {
-        let (send, receive) = sync_channel(queue);
-        let thread = std::thread::spawn(move || commit_all(store, &receive, most, told));
-        Committer { queue: send, thread, next: 1 }
+        let (send, receive) = sync_channel(queue_len);
+        let thread = std::thread::spawn(move || commit_all(store, &receive, max_changes, on_outcome));
+        Committer { queue: send, thread, next_step: 1 }
     }
 
-    /// Queues a step; its number. `None` if the queue is full or the disk has failed: the step must not
-    /// be taken then.
+    /// Queues a step and returns its number. Returns `None` if the queue is full or a commit has failed: then
+    /// the step must be rejected.
     pub fn enqueue(&mut self, changes: Vec<Change>) -> Option<u64> {
-        match self.queue.try_send((self.next, changes)) {
+        match self.queue.try_send((self.next_step, changes)) {
             Ok(()) => {
-                self.next += 1;
-                Some(self.next - 1)
+                self.next_step += 1;
+                Some(self.next_step - 1)
             }
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => None,
         }
     }
 
-    /// Waits until all that was queued has been told.
+    /// Waits until all queued steps are committed and reported.
     pub fn shutdown(self) {
         drop(self.queue);
         let _ = self.thread.join();
@@ -59,21 +59,21 @@
 fn commit_all(
     mut store: impl JobStore,
     queue: &Receiver<(u64, Vec<Change>)>,
-    most: usize,
-    mut told: impl FnMut(CommitOutcome),
+    max_changes: usize,
+    mut on_outcome: impl FnMut(CommitOutcome),
 ) {
     while let Ok((mut last, mut changes)) = queue.recv() {
-        while changes.len() < most
+        while changes.len() < max_changes
             && let Ok((number, more)) = queue.try_recv()
         {
             last = number;
             changes.extend(more);
         }
         match store.commit(&changes) {
-            Ok(()) => told(CommitOutcome::Durable(last)),
+            Ok(()) => on_outcome(CommitOutcome::Durable(last)),
             Err(e) => {
                 log::error!(step = last; "jobs: nothing is made durable any more: {e}");
-                return told(CommitOutcome::Failed(e));
+                return on_outcome(CommitOutcome::Failed(e));
             }
         }
     }
--- a/store/src/faults.rs
+++ b/store/src/faults.rs
@@ -1,5 +1,4 @@
-//! A store that fails as told, before another one: for tests of what is promised when the disk does not
-//! hold. It owns no data.
+//! Fault injection: wraps a store and makes its commits fail or delay as planned. For tests.
 
 use crate::{JobStore, StoreContents, StoreError};
 use sablerun_ledger::Change;
@@ -7,34 +6,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a commit meets.
+/// The fault of one commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It goes well.
+    /// No fault.
     None,
-    /// There is no room; nothing is written.
+    /// The disk is full; nothing is written.
     Full,
-    /// The sync fails, and nobody can tell what is written: it is.
+    /// The sync fails although the changes are written.
     SyncWritten,
-    /// The sync fails, and nothing is written.
+    /// The sync fails and nothing is written.
     SyncLost,
-    /// It takes so long.
+    /// The commit is delayed.
     Slow(Duration),
 }
 
-/// A store with faults before it.
+/// A store with injected faults.
 pub struct FaultyStore<S> {
     store: S,
     plan: Arc<Mutex<VecDeque<Fault>>>,
 }
 
 impl<S: JobStore> FaultyStore<S> {
-    /// Puts planned faults before a store; after them all goes well.
+    /// Wraps a store. Each commit uses up one planned fault; commits after the last one succeed.
     pub fn new(store: S, plan: impl IntoIterator<Item = Fault>) -> FaultyStore<S> {
         FaultyStore { store, plan: Arc::new(Mutex::new(plan.into_iter().collect())) }
     }
 
-    /// The plan, to add to while it runs.
+    /// Returns the plan, so that faults can be added while the store is in use.
     pub fn plan(&self) -> Arc<Mutex<VecDeque<Fault>>> {
         self.plan.clone()
     }
@@ -55,8 +54,8 @@
                 self.store.commit(changes)?;
                 Err(StoreError::Io("the sync failed".to_owned()))
             }
-            Fault::Slow(time) => {
-                std::thread::sleep(time);
+            Fault::Slow(delay) => {
+                std::thread::sleep(delay);
                 self.store.commit(changes)
             }
         }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,6 +1,6 @@
-//! Durable jobs on disk. It owns the file, its schema, the checksums of its records and the thread that
-//! commits. It must never tell that a change is durable before the disk has said so, go on after a commit
-//! that failed as if it had not, nor hand out a record whose checksum does not match.
+//! Storage of durable jobs on disk, and the thread that commits changes. A change is reported as durable only
+//! after the disk has confirmed it, nothing is committed after a failed commit, and a record whose checksum
+//! does not match is never returned.
 
 mod committer;
 mod disk;
@@ -13,51 +13,52 @@
 use sablerun_ledger::{Change, Job, JobId, RecordError};
 use std::fmt;
 
-/// All that a store holds.
+/// The contents of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreContents {
-    /// The first number that no job ever had.
+    /// The lowest job id that was never used.
     pub next_id: u64,
-    /// The jobs, by number.
+    /// The jobs, ordered by id.
     pub jobs: Vec<Job>,
-    /// The names of members and classes, by the numbers that jobs give them.
+    /// Names of members and classes, indexed by the numbers that jobs refer to.
     pub names: Vec<String>,
 }
 
-/// Where jobs are kept.
+/// A persistent store of jobs.
 pub trait JobStore: Send {
-    /// All that it holds.
+    /// Loads the whole store.
     ///
     /// # Errors
     ///
-    /// If anything in it can't be trusted; nothing is handed out then.
+    /// Any part of the store is damaged. Nothing is returned then.
     fn load(&mut self) -> Result<StoreContents, StoreError>;
 
-    /// Makes changes durable: all of them, or none.
+    /// Writes changes durably and atomically.
     ///
     /// # Errors
     ///
-    /// Whether they are durable is not known then: the store is to be opened anew, not asked again.
+    /// It is unknown whether the changes are durable. The store must be reopened; the call must not be
+    /// repeated.
     fn commit(&mut self, changes: &[Change]) -> Result<(), StoreError>;
 
-    /// Bytes that it takes on the disk.
+    /// Returns the size of the store on disk, in bytes.
     fn size(&self) -> u64;
 }
 
-/// What a store can't do.
+/// Why an operation on a store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// Another process has it open.
+    /// Another process has the store open.
     Locked(String),
-    /// A record whose checksum does not match, or that can't be read.
+    /// The checksum of a record does not match, or the record is malformed.
     Damaged(JobId, String),
-    /// The file itself is no store, or is damaged.
+    /// The file is not a store, or the file itself is damaged.
     InvalidFile(String),
-    /// A schema that this program does not know.
+    /// The schema version is not supported.
     UnsupportedSchema(u64),
-    /// There is no room on the disk.
+    /// The disk is full.
     DiskFull,
-    /// The disk said no.
+    /// Any other error of the disk or of redb.
     Io(String),
 }
 
@@ -83,7 +84,7 @@
 impl std::error::Error for StoreError {}
 
 impl StoreError {
-    fn record(id: JobId, error: &RecordError) -> StoreError {
+    fn damaged_record(id: JobId, error: &RecordError) -> StoreError {
         StoreError::Damaged(id, error.to_string())
     }
 }
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The store on a real disk: what comes back after an end, a kill, a turned bit, and a disk that fails.
+//! The store on a real disk: its contents after a close, a kill, flipped bits and failed commits.
 
 use bytes::Bytes;
 use sablerun::{Span, Time};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_was_committed_is_there_and_no_number_is_given_twice() {
+fn committed_jobs_are_loaded_and_ids_are_never_reused() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
     let mut disk = DiskStore::open(&file).unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn names_keep_their_numbers_whatever_is_asked_for_next() {
+fn names_keep_their_numbers() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
     let mut disk = DiskStore::open(&file).unwrap();
@@ -61,18 +61,18 @@
 }
 
 #[test]
-fn one_process_at_a_time() {
+fn only_one_process_can_open_a_store() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
-    let _held = DiskStore::open(&file).unwrap();
+    let _open = DiskStore::open(&file).unwrap();
     let error = DiskStore::open(&file).err().unwrap();
     assert!(matches!(&error, StoreError::Locked(_)), "{error}");
     assert!(error.to_string().contains("another process has it open"));
 }
 
-/// Whatever bit is turned: the jobs as they were, or an error, and never a panic.
+/// With any bit flipped, a load returns the original jobs or an error, and never panics.
 #[test]
-fn a_turned_bit_is_found_or_of_no_account() {
+fn a_flipped_bit_is_detected_or_harmless() {
     let folder = tempfile::tempdir().unwrap();
     let (good, bad) = (folder.path().join("good"), folder.path().join("bad"));
     let mut disk = DiskStore::open(&good).unwrap();
@@ -80,25 +80,25 @@
     disk.commit(&jobs.iter().cloned().map(Change::Put).collect::<Vec<_>>()).unwrap();
     drop(disk);
     let bytes = std::fs::read(&good).unwrap();
-    let whole = load(&good).unwrap();
-    let mut found = 0;
-    // Every byte that is not zero holds something, but there are many: each 37th.
+    let original = load(&good).unwrap();
+    let mut detected = 0;
+    // Only non-zero bytes hold data; every 37th of them, to limit the time.
     for (at, _) in bytes.iter().enumerate().filter(|(_, byte)| **byte != 0).step_by(37) {
-        let mut turned = bytes.clone();
-        turned[at] ^= 1 << (at % 8);
-        std::fs::write(&bad, &turned).unwrap();
+        let mut flipped = bytes.clone();
+        flipped[at] ^= 1 << (at % 8);
+        std::fs::write(&bad, &flipped).unwrap();
         match std::panic::catch_unwind(|| load(&bad)) {
-            Ok(Ok(loaded)) => assert!(loaded == whole, "byte {at} turned, and other jobs loaded"),
-            Ok(Err(_)) => found += 1,
-            Err(_) => panic!("byte {at} turned, and the store panics"),
+            Ok(Ok(loaded)) => assert!(loaded == original, "a flip in byte {at} changed the loaded jobs"),
+            Ok(Err(_)) => detected += 1,
+            Err(_) => panic!("a flip in byte {at} made the store panic"),
         }
     }
-    // What redb says when it panics stands in the output; the store has caught it.
-    assert!(found > 0);
+    // The output may contain panic messages of redb, which the store has caught.
+    assert!(detected > 0);
 }
 
 #[test]
-fn what_is_no_store_or_of_a_newer_schema_is_refused() {
+fn a_file_that_is_no_store_or_has_a_newer_schema_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let text = folder.path().join("text");
     std::fs::write(&text, "this is no store of jobs").unwrap();
@@ -117,21 +117,21 @@
 }
 
 #[test]
-fn steps_are_told_in_order_and_nothing_after_a_failed_commit() {
+fn steps_are_reported_in_order_and_none_after_a_failed_commit() {
     for (fault, written) in [(Fault::Full, 2), (Fault::SyncLost, 2), (Fault::SyncWritten, 3)] {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("jobs");
-        // One step a commit, so that the plan meets the third.
+        // One step per commit, so that the fault hits the third step.
         let store = FaultyStore::new(DiskStore::open(&file).unwrap(), [Fault::None, Fault::None, fault]);
-        let (tell, told) = channel();
-        let mut committer = Committer::start(store, 8, 1, move |outcome| tell.send(outcome).unwrap());
+        let (send, outcomes) = channel();
+        let mut committer = Committer::start(store, 8, 1, move |outcome| send.send(outcome).unwrap());
         for number in 1..=2 {
             assert_eq!(committer.enqueue(vec![Change::Put(job(number, 1))]), Some(number));
-            assert_eq!(told.recv().unwrap(), CommitOutcome::Durable(number));
+            assert_eq!(outcomes.recv().unwrap(), CommitOutcome::Durable(number));
         }
         assert_eq!(committer.enqueue(vec![Change::Put(job(3, 1))]), Some(3));
-        assert!(matches!(told.recv().unwrap(), CommitOutcome::Failed(_)));
-        // The thread has ended: it takes no more, and does not try again.
+        assert!(matches!(outcomes.recv().unwrap(), CommitOutcome::Failed(_)));
+        // The thread has ended: it accepts no further steps and does not retry.
         while committer.enqueue(vec![Change::Put(job(4, 1))]).is_some() {
             std::thread::yield_now();
         }
@@ -141,31 +141,32 @@
 }
 
 #[test]
-fn a_slow_disk_fills_the_queue_and_what_waits_goes_in_one_commit() {
+fn a_slow_disk_fills_the_queue_and_waiting_steps_share_a_commit() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("jobs");
     let slow = Fault::Slow(std::time::Duration::from_millis(300));
     let store = FaultyStore::new(DiskStore::open(&file).unwrap(), [slow]);
-    let (tell, told) = channel();
-    let mut committer = Committer::start(store, 4, 100, move |outcome| tell.send(outcome).unwrap());
-    // The first is taken off the queue at once or not yet; beyond that four fit.
-    let mut taken = 0;
-    while taken < 20 && committer.enqueue(vec![Change::Put(job(taken + 1, 1))]).is_some() {
-        taken += 1;
+    let (send, outcomes) = channel();
+    let mut committer = Committer::start(store, 4, 100, move |outcome| send.send(outcome).unwrap());
+    // The queue holds four steps, plus the first if the thread has already taken it.
+    let mut queued = 0;
+    while queued < 20 && committer.enqueue(vec![Change::Put(job(queued + 1, 1))]).is_some() {
+        queued += 1;
     }
-    assert!(taken < 20, "no bound");
+    assert!(queued < 20, "the queue has no bound");
     committer.shutdown();
-    let outcomes: Vec<_> = told.iter().collect();
-    assert_eq!(*outcomes.last().unwrap(), CommitOutcome::Durable(taken));
-    assert!(outcomes.len() < taken as usize, "one commit a step: {outcomes:?}");
-    assert_eq!(load(&file).unwrap().jobs.len() as u64, taken);
+    let outcomes: Vec<_> = outcomes.iter().collect();
+    assert_eq!(*outcomes.last().unwrap(), CommitOutcome::Durable(queued));
+    assert!(outcomes.len() < queued as usize, "one commit per step: {outcomes:?}");
+    assert_eq!(load(&file).unwrap().jobs.len() as u64, queued);
 }
 
-/// Kills a process that commits as fast as it can: whatever it told is there, and a prefix of the rest.
+/// Kills a process while it commits as fast as it can. All steps that it reported as durable must be loaded,
+/// and of the others only a prefix.
 #[test]
-fn a_kill_in_the_midst_of_commits_keeps_all_that_was_told() {
-    const FILE: &str = "SABLERUN_STORE_TEST_FILE";
-    if let Ok(file) = std::env::var(FILE) {
+fn a_kill_during_commits_keeps_all_reported_steps() {
+    const FILE_VARIABLE: &str = "SABLERUN_STORE_TEST_FILE";
+    if let Ok(file) = std::env::var(FILE_VARIABLE) {
         let mut disk = DiskStore::open(Path::new(&file)).unwrap();
         let first = disk.load().unwrap().next_id;
         for id in first..first + 100_000 {
@@ -178,29 +179,31 @@
     let file = folder.path().join("jobs");
     for round in 1..=6 {
         let mut child = Command::new(std::env::current_exe().unwrap())
-            .args(["a_kill_in_the_midst", "--nocapture"])
-            .env(FILE, &file)
+            .args(["a_kill_during_commits", "--nocapture"])
+            .env(FILE_VARIABLE, &file)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
-        let told = |line: &String| line.strip_prefix("durable ").and_then(|id| id.parse::<u64>().ok());
+        let reported = |line: &String| line.strip_prefix("durable ").and_then(|id| id.parse::<u64>().ok());
         let mut last = 0;
-        for line in lines.by_ref().map_while(Result::ok).filter_map(|line| told(&line)).take(20 + round * 7) {
+        for line in
+            lines.by_ref().map_while(Result::ok).filter_map(|line| reported(&line)).take(20 + round * 7)
+        {
             last = line;
         }
         child.kill().unwrap();
         child.wait().unwrap();
-        last = lines.map_while(Result::ok).filter_map(|line| told(&line)).last().unwrap_or(last);
+        last = lines.map_while(Result::ok).filter_map(|line| reported(&line)).last().unwrap_or(last);
         let loaded = load(&file).unwrap();
         assert!(
             loaded.next_id > last && loaded.next_id <= last + 2,
-            "told {last}, held below {}",
+            "reported {last}, loaded below {}",
             loaded.next_id
         );
         let ids: Vec<_> = loaded.jobs.iter().map(|job| job.id.0).collect();
         assert_eq!(ids, (1..loaded.next_id).collect::<Vec<_>>());
-        assert!(loaded.jobs.iter().all(|job| job.body.len() == 301), "half a commit");
+        assert!(loaded.jobs.iter().all(|job| job.body.len() == 301), "a commit was written in part");
     }
 }
