--- a/digest/src/follower.rs
+++ b/digest/src/follower.rs
@@ -1,26 +1,25 @@
-//! What a follower knows of the runners' loads. It owns the order of versions: what is older, or comes twice,
-//! changes nothing; what leaves a gap asks for the whole. It must never read a clock: how long ago something came
-//! is for whoever holds it.
+//! The follower of a digest: reconstructs the runners' loads from frames. Outdated and repeated frames are
+//! ignored; after a gap a full frame is needed. Contains no clock: the caller tracks the age of the digest.
 
 use crate::frame::{Frame, Load};
 use crate::quantize::dequantize;
 use std::collections::HashMap;
 
-/// What became of a frame.
+/// The result of applying a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyOutcome {
-    /// It holds: these runners' loads have changed.
+    /// The frame was applied; it contained these loads.
     Changed(Vec<Load>),
-    /// It is of an earlier publisher, of an earlier version, or came before: nothing has changed.
+    /// The frame is from an earlier publisher, outdated, or a repeat; it was ignored.
     Stale,
-    /// Frames are missing before it, or it makes no sense: the whole has to be asked for.
+    /// Earlier frames are missing, or the frame is invalid; the follower needs a full frame.
     Gap,
 }
 
-/// A follower.
+/// The state of a follower.
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
-    held: Option<(u64, u64)>,
+    version: Option<(u64, u64)>,
     fields: Vec<String>,
     names: Vec<String>,
     numbers: HashMap<String, usize>,
@@ -28,24 +27,24 @@
 }
 
 impl Follower {
-    /// The epoch and version that it has.
+    /// Returns the epoch and version of the last applied frame.
     pub fn current_version(&self) -> Option<(u64, u64)> {
-        self.held
+        self.version
     }
 
-    /// The names of the figures.
+    /// Returns the names of the load values.
     pub fn fields(&self) -> &[String] {
         &self.fields
     }
 
-    /// Takes a frame.
+    /// Applies a frame.
     pub fn apply(&mut self, frame: &Frame) -> ApplyOutcome {
-        let old = |(epoch, version)| (frame.epoch, frame.version) <= (epoch, version);
-        if self.held.is_some_and(old) {
+        let outdated = |(epoch, version)| (frame.epoch, frame.version) <= (epoch, version);
+        if self.version.is_some_and(outdated) {
             return ApplyOutcome::Stale;
         }
-        let follows = Some((frame.epoch, frame.version.wrapping_sub(1)));
-        if !frame.whole && self.held != follows {
+        let previous = Some((frame.epoch, frame.version.wrapping_sub(1)));
+        if !frame.whole && self.version != previous {
             return ApplyOutcome::Gap;
         }
         let mut next = if frame.whole { Follower::default() } else { std::mem::take(self) };
@@ -58,27 +57,28 @@
         }
         next.codes.resize(next.names.len(), Vec::new());
         let Some(changed) = next.apply_body(&frame.body) else {
-            // Part of it may have been put to use: nothing of it is believed.
+            // Part of the frame may have been applied: the whole state is discarded.
             *self = Follower::default();
             return ApplyOutcome::Gap;
         };
-        next.held = Some((frame.epoch, frame.version));
+        next.version = Some((frame.epoch, frame.version));
         *self = next;
         ApplyOutcome::Changed(changed.into_iter().map(|number| self.load(number)).collect())
     }
 
-    /// What is known of a runner; none if nothing has been told.
+    /// Returns the last known load of a runner, if any.
     pub fn load_of(&self, runner: &str) -> Option<Load> {
         let number = *self.numbers.get(runner)?;
         (!self.codes[number].is_empty()).then(|| self.load(number))
     }
 
-    /// Puts a body to use: the numbers of the runners that it tells of; none if it makes no sense.
+    /// Applies the body of a frame; returns the numbers of the changed runners, or `None` if the body is
+    /// invalid.
     fn apply_body(&mut self, body: &[u16]) -> Option<Vec<usize>> {
         let (mut rest, mut number, mut changed) = (body.iter().copied(), 0, Vec::new());
-        while let Some(step) = rest.next() {
+        while let Some(skipped) = rest.next() {
             let mask = rest.next()?;
-            number += usize::from(step);
+            number += usize::from(skipped);
             let codes = self.codes.get_mut(number)?;
             codes.resize(self.fields.len() + 1, 0);
             for at in (0..16).filter(|at| mask & 1 << at != 0) {
--- a/digest/src/frame.rs
+++ b/digest/src/frame.rs
@@ -1,72 +1,73 @@
-//! A digest's frames and their bytes: a length of two bytes, then the frame as postcard writes it, small numbers
-//! in one byte each. It owns that form; it must never decide what is told.
+//! The frames of a digest and their encoding: a length of two bytes (little-endian), then the frame in
+//! postcard encoding, which stores small numbers in one byte each.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest frame, in bytes: some 4,000 runners with names of ten bytes.
+/// Maximum length of an encoded frame, in bytes; enough for about 4,000 runners with names of ten bytes.
 pub const MAX_FRAME_BYTES: usize = 65_535;
 
-/// What a runner said of itself, by the names of [`Frame::fields`]; none when it did not answer.
+/// The load of one runner, as reported by the runner itself. A runner that did not answer reported no values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// Its name.
+    /// The name of the runner.
     pub runner: String,
-    /// Whether it answered that it takes work.
+    /// Whether the runner answered that it accepts work.
     pub ok: bool,
-    /// Its figures, in the order of the fields; 0 where it told none.
+    /// Its load values, in the order of [`Frame::fields`]; 0 where it reported none.
     pub values: Vec<f64>,
 }
 
-/// One message of a digest.
+/// A message from the publisher to its followers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// When the publisher began, in microseconds of Unix time: a later one replaces an earlier one.
+    /// When the publisher started, in microseconds of Unix time. A later publisher replaces an earlier one.
     pub epoch: u64,
-    /// The version that a follower has with it: one more than the frame before, or any if `whole`.
+    /// The version of the digest after this frame: the previous version plus one, or any version if `whole`.
     pub version: u64,
-    /// Whether it tells everything.
+    /// Whether this is a full frame, which contains all published loads.
     pub whole: bool,
-    /// The names of the figures; told when whole.
+    /// The names of the load values; only in a full frame.
     pub fields: Vec<String>,
-    /// Names of runners not named before: numbered on from those that were, or from 0 if whole.
+    /// Names of new runners, numbered consecutively after the known ones, or from 0 in a full frame.
     pub names: Vec<String>,
-    /// The runners that it tells of: for each the distance of its number from the one before (from -1), then
-    /// which figures follow by bits (bit 0: whether it takes work, told by 0 or 1), then their codes.
+    /// The changed runners. For each: the number of runners skipped since the previous entry (or the start),
+    /// a bit mask of the codes that follow (bit 0: `ok` as 0 or 1; bit n: the n-th load value), then these
+    /// codes.
     pub body: Vec<u16>,
 }
 
-/// Bytes that are no frame.
+/// Why a frame could not be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrameError(pub &'static str);
 
 impl Frame {
-    /// Its bytes, with their length before them.
+    /// Encodes the frame, preceded by its length.
     ///
     /// # Errors
     ///
-    /// It is longer than [`MAX_FRAME_BYTES`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
     pub fn to_bytes(&self) -> Result<Vec<u8>, FrameError> {
-        let bytes = postcard::to_stdvec(self).map_err(|_| FrameError("can't be worded"))?;
+        let bytes = postcard::to_stdvec(self).map_err(|_| FrameError("can't be encoded"))?;
         let length = u16::try_from(bytes.len()).map_err(|_| FrameError("longer than a frame may be"))?;
         Ok([&length.to_le_bytes()[..], &bytes].concat())
     }
 }
 
-/// Frames out of a stream of bytes that comes in any pieces.
+/// Decodes frames from a byte stream that arrives in arbitrary pieces.
 #[derive(Debug, Default)]
 pub struct FrameDecoder(Vec<u8>);
 
 impl FrameDecoder {
-    /// More bytes have come.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.0.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if it is there.
+    /// Returns the next frame if it has been received completely.
     ///
     /// # Errors
     ///
-    /// What came is no frame: nothing after it can be read either.
+    /// The received bytes are not a frame. The rest of the stream cannot be decoded either.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.0.first_chunk().map(|length| usize::from(u16::from_le_bytes(*length))) else {
             return Ok(None);
--- a/digest/src/lib.rs
+++ b/digest/src/lib.rs
@@ -1,7 +1,7 @@
-//! Load digests: one publisher asks each runner for its load and tells every dispatcher what has changed, so that
-//! what a dispatcher pays no longer grows with runners times dispatchers. This crate owns the form of a digest,
-//! what is told of it when, and what a follower may believe. It must never read a clock or touch a socket, nor
-//! decide where a request goes.
+//! Load digests: one publisher polls each runner for its load and sends the changes to every dispatcher, so
+//! that the total cost of polling no longer grows with runners times dispatchers. This crate contains the
+//! encoding of a digest, the publisher's choice of what to send when, and the follower's check of what it
+//! receives. Contains no clock, no I/O and no routing decisions.
 
 mod follower;
 mod frame;
--- a/digest/tests/digest.rs
+++ b/digest/tests/digest.rs
@@ -1,43 +1,43 @@
-//! Publishers and followers against plain models: whatever is lost, doubled or crossed, a follower believes only
-//! what was published, in order.
+//! Tests of publishers and followers: whatever frames are lost, duplicated or reordered, a follower accepts
+//! only what was published, in order.
 
 use proptest::prelude::*;
 use sablerun_digest::{ApplyOutcome, Follower, Frame, FrameDecoder, Load, Publisher, dequantize, quantize};
 
-fn load(runner: usize, ok: bool, figures: &[f64]) -> Load {
-    Load { runner: format!("s-{runner:04}"), ok, values: figures.to_vec() }
+fn load(runner: usize, ok: bool, values: &[f64]) -> Load {
+    Load { runner: format!("s-{runner:04}"), ok, values: values.to_vec() }
 }
 
 fn fields() -> Vec<String> {
     ["outstanding", "x0", "recent_ms", "errors_per_s"].map(str::to_owned).to_vec()
 }
 
-fn changed(taken: ApplyOutcome) -> Vec<Load> {
-    match taken {
+fn changed(outcome: ApplyOutcome) -> Vec<Load> {
+    match outcome {
         ApplyOutcome::Changed(loads) => loads,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn whole_numbers_up_to_32_are_exact_and_larger_ones_off_by_a_thirtieth() {
+fn whole_numbers_up_to_32_are_exact_and_larger_ones_within_a_thirty_second() {
     for n in 0..=32 {
         assert_eq!(dequantize(quantize(f64::from(n))), f64::from(n));
     }
     for eighth in 0..64 {
         assert_eq!(dequantize(quantize(f64::from(eighth) / 8.0)), f64::from(eighth) / 8.0);
     }
-    for figure in [33.0, 65_000.0, 1e6, 123_456.789] {
-        assert!((dequantize(quantize(figure)) / figure - 1.0).abs() <= 1.0 / 32.0, "{figure}");
+    for value in [33.0, 65_000.0, 1e6, 123_456.789] {
+        assert!((dequantize(quantize(value)) / value - 1.0).abs() <= 1.0 / 32.0, "{value}");
     }
     for odd in [f64::NAN, f64::INFINITY, -1.0] {
         assert_eq!(dequantize(quantize(odd)), 0.0);
     }
-    assert!(quantize(19.0) < 128, "one byte for a usual count of slots");
+    assert!(quantize(19.0) < 128, "a typical number of slots takes one byte");
 }
 
 #[test]
-fn only_what_changed_is_told_and_an_unchanged_fleet_costs_a_sign_of_life() {
+fn only_changes_are_published_and_an_unchanged_fleet_costs_a_heartbeat() {
     let mut publisher = Publisher::new(1, &fields());
     (0..680).for_each(|n| publisher.record(&load(n, true, &[19.0, 3.0, 65_000.0, 0.0])));
     let mut follower = Follower::default();
@@ -45,13 +45,13 @@
     let all = publisher.next_frame(65_000);
     assert_eq!(changed(follower.apply(&all)).len(), 680);
     (0..680).for_each(|n| publisher.record(&load(n, true, &[19.0, 3.0, 65_500.0, 0.0])));
-    let nothing = publisher.next_frame(65_000);
-    assert!(nothing.body.is_empty(), "within the rounding");
-    assert!(nothing.to_bytes().unwrap().len() < 25, "{}", nothing.to_bytes().unwrap().len());
+    let unchanged = publisher.next_frame(65_000);
+    assert!(unchanged.body.is_empty(), "the change is within the rounding");
+    assert!(unchanged.to_bytes().unwrap().len() < 25, "{}", unchanged.to_bytes().unwrap().len());
     publisher.record(&load(7, true, &[20.0, 2.0, 65_000.0, 0.0]));
     let one = publisher.next_frame(65_000);
     assert!(one.to_bytes().unwrap().len() < 30);
-    follower.apply(&nothing);
+    follower.apply(&unchanged);
     assert_eq!(
         changed(follower.apply(&one)),
         [load(7, true, &[20.0, 2.0, dequantize(quantize(65_000.0)), 0.0])]
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn a_budget_holds_back_what_matters_least_and_tells_it_later() {
+fn a_budget_delays_the_least_important_changes() {
     let mut publisher = Publisher::new(1, &fields());
     (0..100).for_each(|n| publisher.record(&load(n, true, &[10.0, 5.0, 100.0, 0.0])));
     publisher.next_frame(65_000);
     (0..100).for_each(|n| publisher.record(&load(n, true, &[11.0, 4.0, 100.0, 0.0])));
-    // One has no slot free any more, and one takes no work.
+    // One runner has no free slot any more, and one accepts no work.
     publisher.record(&load(60, true, &[15.0, 0.0, 100.0, 0.0]));
     publisher.record(&load(70, false, &[11.0, 4.0, 100.0, 0.0]));
-    let mut told = Vec::new();
+    let mut published = Vec::new();
     let mut follower = Follower::default();
     let mut first = None;
     follower.apply(&publisher.full_frame());
@@ -76,34 +76,34 @@
         assert!(frame.to_bytes().unwrap().len() <= 82, "{}", frame.to_bytes().unwrap().len());
         let loads = changed(follower.apply(&frame));
         first.get_or_insert_with(|| loads.iter().map(|l| l.runner.clone()).collect::<Vec<_>>());
-        told.extend(loads.into_iter().map(|l| l.runner));
+        published.extend(loads.into_iter().map(|l| l.runner));
     }
     let first = first.unwrap();
     assert!(first.contains(&"s-0060".to_owned()) && first.contains(&"s-0070".to_owned()), "{first:?}");
-    told.sort();
-    told.dedup();
-    assert_eq!(told.len(), 100, "everything is told in the end");
+    published.sort();
+    published.dedup();
+    assert_eq!(published.len(), 100, "every change is published eventually");
 }
 
 #[test]
-fn an_older_version_after_a_newer_and_the_same_twice_change_nothing() {
+fn older_and_repeated_versions_change_nothing() {
     let mut publisher = Publisher::new(5, &fields());
     publisher.record(&load(0, true, &[1.0, 1.0, 1.0, 0.0]));
-    let (whole, first) = (publisher.full_frame(), publisher.next_frame(1000));
+    let (full, first) = (publisher.full_frame(), publisher.next_frame(1000));
     publisher.record(&load(0, true, &[2.0, 0.0, 1.0, 0.0]));
     let second = publisher.next_frame(1000);
     let mut follower = Follower::default();
-    for frame in [&whole, &first, &second] {
+    for frame in [&full, &first, &second] {
         assert!(matches!(follower.apply(frame), ApplyOutcome::Changed(_)));
     }
-    for frame in [&second, &first, &whole, &Publisher::new(4, &fields()).next_frame(1000)] {
+    for frame in [&second, &first, &full, &Publisher::new(4, &fields()).next_frame(1000)] {
         assert_eq!(follower.apply(frame), ApplyOutcome::Stale);
     }
     assert_eq!(follower.current_version(), Some((5, 2)));
 }
 
 #[test]
-fn a_gap_asks_for_the_whole_and_so_does_another_publisher() {
+fn a_gap_and_another_publisher_require_a_full_frame() {
     let mut publisher = Publisher::new(5, &fields());
     let mut follower = Follower::default();
     assert_eq!(follower.apply(&publisher.next_frame(1000)), ApplyOutcome::Gap);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_frame_that_makes_no_sense_is_believed_in_no_part() {
+fn an_invalid_frame_discards_the_whole_state() {
     let mut publisher = Publisher::new(5, &fields());
     publisher.record(&load(0, true, &[1.0, 1.0, 1.0, 0.0]));
     publisher.next_frame(1000);
@@ -131,25 +131,25 @@
         assert_eq!(follower.apply(&frame), ApplyOutcome::Gap);
         assert_eq!(follower.current_version(), None);
     }
-    let mut stream = FrameDecoder::default();
-    stream.extend(&[3, 0, 0xff, 0xff, 0xff]);
-    assert!(stream.next_frame().is_err());
+    let mut decoder = FrameDecoder::default();
+    decoder.extend(&[3, 0, 0xff, 0xff, 0xff]);
+    assert!(decoder.next_frame().is_err());
 }
 
 proptest! {
-    /// Frames in any pieces, some lost, some doubled, the publisher started anew now and then: whenever a follower
-    /// believes a version, it believes what was published with it.
+    /// Frames arrive in arbitrary pieces; some are lost, some are duplicated, and the publisher restarts now
+    /// and then. Whenever a follower accepts a version, its loads are those published with that version.
     #[test]
-    fn a_follower_believes_what_was_published(
+    fn a_follower_knows_what_was_published(
         steps in proptest::collection::vec((0u8..10, 0usize..6, 0u32..40, 0u32..5, any::<bool>()), 1..200),
         piece in 1usize..9,
     ) {
         let mut publisher = Publisher::new(1, &fields());
         let mut model = std::collections::HashMap::new();
-        let (mut follower, mut held) = (Follower::default(), std::collections::HashMap::new());
+        let (mut follower, mut known) = (Follower::default(), std::collections::HashMap::new());
         let (mut epoch, mut last) = (1, None);
-        for (what, runner, a, b, ok) in steps {
-            match what {
+        for (action, runner, a, b, ok) in steps {
+            match action {
                 0 => {
                     epoch += 1;
                     (publisher, model) = (Publisher::new(epoch, &fields()), Default::default());
@@ -162,29 +162,31 @@
                 5 => drop(publisher.next_frame(60)),
                 _ => {
                     let frame = publisher.next_frame(1000);
-                    let mut stream = FrameDecoder::default();
+                    let mut decoder = FrameDecoder::default();
                     let mut frames = Vec::new();
                     for bytes in frame.to_bytes().unwrap().chunks(piece) {
-                        stream.extend(bytes);
-                        frames.extend(stream.next_frame().unwrap());
+                        decoder.extend(bytes);
+                        frames.extend(decoder.next_frame().unwrap());
                     }
                     prop_assert_eq!(&frames, &vec![frame]);
                     frames.extend(last.replace(frames[0].clone()));
                     for frame in frames {
-                        let mut taken = follower.apply(&frame);
-                        if taken == ApplyOutcome::Gap {
-                            held.clear();
-                            taken = follower.apply(&publisher.full_frame());
+                        let mut outcome = follower.apply(&frame);
+                        if outcome == ApplyOutcome::Gap {
+                            known.clear();
+                            outcome = follower.apply(&publisher.full_frame());
                         }
-                        if let ApplyOutcome::Changed(loads) = taken {
-                            held.extend(loads.into_iter().map(|load| (load.runner.clone(), load)));
+                        if let ApplyOutcome::Changed(loads) = outcome {
+                            known.extend(loads.into_iter().map(|load| (load.runner.clone(), load)));
                         }
                     }
-                    for (name, load) in &held {
+                    for (name, load) in &known {
                         if let Some(truth) = model.get(name) {
                             prop_assert_eq!(load.ok, truth.ok);
-                            let off = (load.values[0] - truth.values[0]).abs();
-                            prop_assert!(off <= truth.values[0] * 0.1, "{} {}", load.values[0], truth.values[0]);
+                            let error = (load.values[0] - truth.values[0]).abs();
+                            prop_assert!(
+                                error <= truth.values[0] * 0.1, "{} {}", load.values[0], truth.values[0]
+                            );
                             prop_assert_eq!(load.values[1], truth.values[1]);
                         }
                     }
