--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -2,23 +2,29 @@
 //! names into the module's numbers. It must never judge a runner, nor let one source's list speak for
 //! another's.
 
-use super::{Core, Listed, Source};
+use super::{Core, ListedRunner, Source};
 use sablerun as sr;
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    pub(super) fn list(&mut self, now: sr::Time, source: Source, kind: sr::ListKind, listed: Vec<Listed>) {
+    pub(super) fn list(
+        &mut self,
+        now: sr::Time,
+        source: Source,
+        kind: sr::ListKind,
+        listed: Vec<ListedRunner>,
+    ) {
         let mut changed: Vec<sr::ListEntry> = Vec::with_capacity(listed.len());
         for runner in listed {
-            let worker = self.tables.workers.number(&runner.name);
-            let zone = self.tables.zones.number(&runner.zone);
+            let worker = self.tables.workers.intern(&runner.name);
+            let zone = self.tables.zones.intern(&runner.zone);
             self.places.insert(worker, keys::Place { zone, cell: runner.cell });
             changed.push(sr::ListEntry {
                 worker: sr::WorkerId(worker),
                 zone: sr::ZoneId(zone),
-                kind: sr::KindId(self.tables.kinds.number(&runner.kind)),
+                kind: sr::KindId(self.tables.kinds.intern(&runner.kind)),
                 cell: runner.cell,
-                standing: runner.standing,
+                state: runner.standing,
                 size: runner.size,
                 up_since: runner.up_since,
             });
@@ -26,8 +32,8 @@
         if kind == sr::ListKind::Delta {
             for entry in &changed {
                 let key = (source, entry.worker.0);
-                match entry.standing {
-                    sr::Standing::Gone => self.lists.remove(&key),
+                match entry.state {
+                    sr::WorkerState::Gone => self.lists.remove(&key),
                     _ => self.lists.insert(key, entry.clone()),
                 };
             }
--- a/settings/src/settle.rs
+++ b/settings/src/convert.rs
@@ -2,7 +2,7 @@
 //! names what makes no sense. It must never read a file, mend a value, nor decide what the module should.
 
 use crate::env::{Env, Rules};
-use crate::tables::{Field, Names, Tables};
+use crate::tables::{Field, NameTable, Tables};
 use sablerun as sr;
 
 impl Env {
@@ -11,18 +11,25 @@
     /// # Errors
     ///
     /// Names the setting that makes no sense.
-    pub fn settle(&self) -> Result<(sr::Settings, Tables), String> {
+    pub fn to_settings(&self) -> Result<(sr::Settings, Tables), String> {
         let env = self;
-        let mut zones = Names::of(&env.failure_domains);
-        let kinds = Names::of(&env.kinds);
+        let mut zones = NameTable::of(&env.failure_domains);
+        let kinds = NameTable::of(&env.kinds);
         let classes = env.services.iter().enumerate();
-        let ask_within = env.rules.ask_within.map_or(sr::Settings::default().ask_within, sr::Span);
-        let sr::Settings { told_within, lost_within, saved_within, failed_calls_renew, report_age, .. } =
-            sr::Settings::default();
+        let max_poll_interval =
+            env.rules.ask_within.map_or(sr::Settings::default().max_poll_interval, sr::Span);
+        let sr::Settings {
+            validity_after_silence,
+            validity_after_loss,
+            saved_list_validity,
+            failed_calls_renew_validity,
+            report_age_s,
+            ..
+        } = sr::Settings::default();
         let settings = sr::Settings {
             dispatchers: env.balancers,
             number: env.me,
-            zone: Some(sr::ZoneId(zones.number(&env.zone))),
+            zone: Some(sr::ZoneId(zones.intern(&env.zone))),
             classes: classes
                 .map(|(i, service)| {
                     let kind = env.extra.class_kind.get(i).copied().unwrap_or(-1);
@@ -33,7 +40,7 @@
                         deadline: sr::Span(service.deadline),
                         worth: service.importance,
                         late_worth: service.late_worth,
-                        effect: effect(&service.repeat, service.group.as_deref())?,
+                        idempotency: effect(&service.repeat, service.group.as_deref())?,
                         window: sr::Span(service.window),
                         kind: u32::try_from(kind).ok().map(sr::KindId),
                     })
@@ -54,37 +61,38 @@
             },
             discovery: match env.membership_mode.as_str() {
                 "pushed" => sr::Discovery::Pushed,
-                "on_request" => sr::Discovery::Asked,
+                "on_request" => sr::Discovery::OnRequest,
                 other => return Err(format!("membershipMode {other:?}")),
             },
             tick: sr::Span(env.tick),
-            tells_start: env.extra.tells_start,
+            reports_start: env.extra.tells_start,
             progress: sr::Span(env.extra.progress),
             cancel: env.limits.cancel,
             probing: env.limits.probing,
-            parallel: env.limits.parallel_tries,
+            parallel_attempts: env.limits.parallel_tries,
             idle_limit: env.limits.conn_idle.map_or(sr::Settings::default().idle_limit, sr::Span),
             max_attempts: env.limits.try_limit,
             budget: budget(&env.rules)?,
             tail: sr::Tail { weight: env.goal.tail_part, tolerated: env.goal.tail_miss },
             worth_by_work: env.worth_by == "work",
-            marks_retries: env.client_habits.marks_retry,
-            sized: matches!(env.weights.as_str(), "nominal" | "rough"),
+            marked_retries: env.client_habits.marks_retry,
+            has_worker_sizes: matches!(env.weights.as_str(), "nominal" | "rough"),
             max_hold_off: sr::Span(if env.limits.retry_after { env.limits.max_retry_after } else { 0 }),
             drain_grace: sr::Span(env.rules.drain_grace),
-            ask_within,
+            max_poll_interval,
             // Figures of the protocol, which no setting carries.
-            told_within,
-            saved_within,
-            failed_calls_renew,
-            report_age,
+            validity_after_silence,
+            saved_list_validity,
+            failed_calls_renew_validity,
+            report_age_s,
             // Without a watch it may be less: the list holds for the time between two calls, less some room.
-            lost_within: lost_within.min(sr::Span(ask_within.0.saturating_sub(200_000_000))),
-            drain_binds_alone: env.rules.drain_binds_alone,
+            validity_after_loss: validity_after_loss
+                .min(sr::Span(max_poll_interval.0.saturating_sub(200_000_000))),
+            only_draining_excludes: env.rules.drain_binds_alone,
             cold_from: env.rules.cold_from,
             warm_after: sr::Span(env.rules.warm_after),
             fall_multiple: env.rules.fall_multiple,
-            fall: sr::Span(env.rules.fall),
+            fall_after: sr::Span(env.rules.fall),
         };
         let fields = env.reporting.fields.iter().map(|name| {
             let meaning = match name.as_str() {
@@ -103,8 +111,8 @@
             (name.clone(), field)
         });
         let fields = fields.collect();
-        let classes = Names::of(env.services.iter().map(|service| &service.name));
-        let tenants = Names::of(env.projects.iter().map(|project| &project.name));
+        let classes = NameTable::of(env.services.iter().map(|service| &service.name));
+        let tenants = NameTable::of(env.projects.iter().map(|project| &project.name));
         // Numbers are places in these lists: a name twice would shift all that follow.
         for (what, named, listed) in
             [("services", &classes, env.services.len()), ("projects", &tenants, env.projects.len())]
@@ -113,7 +121,7 @@
                 return Err(format!("{what}: a name stands twice"));
             }
         }
-        let tables = Tables { workers: Names::default(), zones, kinds, classes, tenants, fields };
+        let tables = Tables { workers: NameTable::default(), zones, kinds, classes, tenants, fields };
         settings.validate().map_err(|e| match key(e.0) {
             Some(key) => format!("{e}, by the key {key}"),
             None => e.to_string(),
@@ -149,13 +157,13 @@
     })
 }
 
-fn effect(repeat: &str, group: Option<&str>) -> Result<sr::Effect, String> {
+fn effect(repeat: &str, group: Option<&str>) -> Result<sr::Idempotency, String> {
     Ok(match (repeat, group) {
-        ("retryable", _) => sr::Effect::Safe,
-        ("fragile", _) => sr::Effect::Unsafe,
-        ("dedup", Some("zone")) => sr::Effect::Keyed(sr::Group::Zone),
-        ("dedup", Some("cell")) => sr::Effect::Keyed(sr::Group::Cell),
-        ("dedup", Some("all") | None) => sr::Effect::Keyed(sr::Group::All),
+        ("retryable", _) => sr::Idempotency::Safe,
+        ("fragile", _) => sr::Idempotency::Unsafe,
+        ("dedup", Some("zone")) => sr::Idempotency::Keyed(sr::DedupScope::Zone),
+        ("dedup", Some("cell")) => sr::Idempotency::Keyed(sr::DedupScope::Cell),
+        ("dedup", Some("all") | None) => sr::Idempotency::Keyed(sr::DedupScope::All),
         _ => return Err(format!("services repeat {repeat:?}, group {group:?}")),
     })
 }
