--- a/store/src/committer.rs
+++ b/store/src/committer.rs
@@ -16,7 +16,7 @@
     Failed(StoreError),
 }
 
-/// The queue of a commit thread.
+/// Commits steps on a separate thread, fed by a bounded queue.
 pub struct Committer {
     queue: SyncSender<(u64, Vec<Change>)>,
     thread: JoinHandle<()>,
