--- a/ledger/src/ledger.rs
+++ b/ledger/src/ledger.rs
@@ -453,8 +453,8 @@
         let (tokens, refilled_at) = self.recovery_bucket;
         let burst = self.config.recoveries_per_s.max(1.0);
         let mut tokens = (tokens + (now - refilled_at).secs() * self.config.recoveries_per_s).min(burst);
-        let mut passed = 0;
-        while self.leased < self.config.max_leases && passed < self.turn_order.len() {
+        let mut skipped = 0;
+        while self.leased < self.config.max_leases && skipped < self.turn_order.len() {
             let Some(queue) = self.turn_order.pop_front() else { break };
             let Some(jobs) = self.queues.get_mut(&queue) else { continue };
             let Some(&id) = jobs.front() else { continue };
@@ -467,7 +467,7 @@
             }
             if self.recovering.contains(&id) && tokens < 1.0 {
                 self.turn_order.push_back(queue);
-                passed += 1;
+                skipped += 1;
                 continue;
             }
             jobs.pop_front();
@@ -475,7 +475,7 @@
             if self.recovering.remove(&id) {
                 tokens -= 1.0;
             }
-            passed = 0;
+            skipped = 0;
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.epoch = Epoch(job.epoch.0 + 1);
             job.attempts += 1;
