--- a/lab/src/file.rs
+++ b/lab/src/file.rs
@@ -6,7 +6,7 @@
 use crate::play::{Figures, play};
 use crate::scale::plan::Plan;
 use crate::scale::report;
-use crate::scale::session::{Asked, session};
+use crate::scale::session::{RunOptions, run_session};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::Path;
 
@@ -25,7 +25,7 @@
     ///
     /// Names the file and the key at fault.
     pub fn read(path: &Path) -> Result<File, String> {
-        match Plan::is(path) {
+        match Plan::is_scale_run(path) {
             true => Plan::read(path).map(Box::new).map(File::Scale),
             false => Experiment::read(path).map(Box::new).map(File::Installation),
         }
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// Says what could not be played.
-    pub fn play(&self, asked: &Asked, out: Option<&Path>) -> Result<Figures, String> {
+    pub fn play(&self, asked: &RunOptions, out: Option<&Path>) -> Result<Figures, String> {
         let folder = std::env::temp_dir().join(format!("sablerun-lab-{}", std::process::id()));
         let bar = ProgressBar::new(1000);
         let style = ProgressStyle::with_template("{msg:>16} [{bar:40}] {percent:>3} %  {elapsed}");
@@ -86,7 +86,7 @@
 
     async fn playing(
         &self,
-        asked: &Asked,
+        asked: &RunOptions,
         folder: &Path,
         tick: impl Fn(&str, f64),
         out: Option<&Path>,
@@ -106,7 +106,7 @@
                     Some(out) => report::write(&Kept::now(figures.clone()), out),
                     None => Ok(()),
                 };
-                session(plan, asked, folder, tick, keep).await
+                run_session(plan, asked, folder, tick, keep).await
             }
         }
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -8,7 +8,7 @@
 use sablerun_lab::play::{Figures, Judged, judge};
 use sablerun_lab::scale::plan::Compare;
 use sablerun_lab::scale::report;
-use sablerun_lab::scale::session::{Asked, size};
+use sablerun_lab::scale::session::{RunOptions, parse_size};
 use sablerun_lab::scale::{part_clients, part_discovery, part_dispatchers, part_runners};
 use serde_json::json;
 use std::path::{Path, PathBuf};
@@ -85,7 +85,7 @@
     #[arg(long, value_name = "SECTION")]
     switch_off: Vec<String>,
     /// Multiply the sizes of a scale run, e.g. 1/32.
-    #[arg(long, value_parser = size)]
+    #[arg(long, value_parser = parse_size)]
     size: Option<f64>,
     /// In place of the file's.
     #[arg(long)]
@@ -99,9 +99,9 @@
 }
 
 impl How {
-    fn asked(&self, check: bool) -> Asked {
+    fn asked(&self, check: bool) -> RunOptions {
         let (points, switch_off) = (self.point.clone(), self.switch_off.clone());
-        Asked { size: self.size, seed: self.seed, points, switch_off, check }
+        RunOptions { size: self.size, seed: self.seed, points, switch_off, check }
     }
 
     /// Where only some points are played, the bounds that they have figures for.
--- a/lab/src/scale/plan.rs
+++ b/lab/src/scale/plan.rs
@@ -146,7 +146,7 @@
 
 impl Plan {
     /// Whether a file is a scale run's: its key `kind` tells.
-    pub fn is(path: &Path) -> bool {
+    pub fn is_scale_run(path: &Path) -> bool {
         let text = std::fs::read_to_string(path).unwrap_or_default();
         toml::from_str::<toml::Table>(&text).is_ok_and(|table| table.contains_key("kind"))
     }
--- a/lab/src/scale/session.rs
+++ b/lab/src/scale/session.rs
@@ -12,7 +12,7 @@
 
 /// What a command says beside the file.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct RunOptions {
     /// By what all sizes are multiplied, in place of the file's.
     pub size: Option<f64>,
     /// In place of the file's.
@@ -30,9 +30,9 @@
 /// # Errors
 ///
 /// Says what the machine does not bear, or which process failed.
-pub async fn session(
+pub async fn run_session(
     plan: &Plan,
-    asked: &Asked,
+    asked: &RunOptions,
     folder: &Path,
     tick: impl Fn(&str, f64),
     kept: impl Fn(&Figures) -> Result<(), String>,
@@ -71,7 +71,7 @@
 }
 
 /// The points to play.
-fn chosen(plan: &Plan, asked: &Asked) -> Result<Vec<Point>, String> {
+fn chosen(plan: &Plan, asked: &RunOptions) -> Result<Vec<Point>, String> {
     let all = plan.points();
     if let Some(name) = asked.points.iter().find(|name| all.iter().all(|point| point.name != **name)) {
         let names: Vec<_> = all.iter().map(|point| point.name.as_str()).collect();
@@ -110,7 +110,7 @@
 /// # Errors
 ///
 /// Says what would do.
-pub fn size(text: &str) -> Result<f64, String> {
+pub fn parse_size(text: &str) -> Result<f64, String> {
     let number = |text: &str| text.trim().parse::<f64>().ok();
     let size = match text.split_once('/') {
         Some((over, under)) => number(over).zip(number(under)).map(|(over, under)| over / under),
--- a/lab/tests/scale_figures.rs
+++ b/lab/tests/scale_figures.rs
@@ -5,7 +5,7 @@
 use sablerun_lab::scale::figures::starts;
 use sablerun_lab::scale::fit::{by_point, line, series};
 use sablerun_lab::scale::joined::Joined;
-use sablerun_lab::scale::session::size;
+use sablerun_lab::scale::session::parse_size;
 use sablerun_lab::scale::words::Request;
 use std::collections::BTreeMap;
 
@@ -67,10 +67,10 @@
 
 #[test]
 fn sizes_are_fractions_or_decimals() {
-    assert_eq!(size("1/32"), Ok(0.03125));
-    assert_eq!(size("0.5"), Ok(0.5));
+    assert_eq!(parse_size("1/32"), Ok(0.03125));
+    assert_eq!(parse_size("0.5"), Ok(0.5));
     for bad in ["0", "-1", "1/0", "half", "0/4"] {
-        assert!(size(bad).is_err(), "{bad}");
+        assert!(parse_size(bad).is_err(), "{bad}");
     }
 }
 
