--- a/lab/src/scale/part_dispatchers.rs
+++ b/lab/src/scale/part_dispatchers.rs
@@ -5,7 +5,7 @@
 use super::part;
 use super::records::{Acts, Answers};
 use super::words::{Begin, Command, Counts, Ready, now_us};
-use sablerun_node::{cli::Log, logging};
+use sablerun_node::{cli::LogFormat, logging};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
@@ -19,7 +19,7 @@
 ///
 /// If it could not begin.
 pub fn run() -> Result<(), String> {
-    logging::start(Log::Text);
+    logging::start(LogFormat::Text);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     runtime.block_on(part::run(Dispatchers::begin, async |dispatchers, command| {
--- a/node/benches/slopes/terms.rs
+++ b/node/benches/slopes/terms.rs
@@ -78,7 +78,7 @@
         zone: format!("zone-{}", runner % ZONES),
         kind: format!("kind-{}", runner % 4),
         cell: (runner / 8) as u32,
-        standing: sr::WorkerState::Ready,
+        state: sr::WorkerState::Ready,
         size: SLOTS[runner % 4],
         up_since,
     }
--- a/node/benches/slopes/world.rs
+++ b/node/benches/slopes/world.rs
@@ -179,7 +179,12 @@
                 let rules = vec![keys::Retention { window: sr::Span(0), uncertain_ttl: sr::Span(0) }; 2];
                 self.step(
                     "retune",
-                    Input::Reconfigure(Box::new(Reconfiguration { settings, tables, rules, until })),
+                    Input::Reconfigure(Box::new(Reconfiguration {
+                        settings,
+                        tables,
+                        rules,
+                        accept_removed_until: until,
+                    })),
                 );
                 self.say(10.0, word);
             }
--- a/node/src/admin_calls.rs
+++ b/node/src/admin_calls.rs
@@ -44,7 +44,7 @@
 /// Takes a runner's call-back that the other process of an upgrade handed on.
 pub fn accept_call_back(runtime: &Runtime, call_back: &str) -> Result<(), String> {
     let told: CallBack = serde_json::from_str(call_back).map_err(|e| format!("TOLD: {e}"))?;
-    if !runtime.knows(&told.id) {
+    if !runtime.has_request(&told.id) {
         return Err("no job of that id is under way here".to_owned());
     }
     log::debug!("request {}: a call-back was handed on", told.id);
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -52,8 +52,8 @@
     #[arg(long, short, value_name = "FILE", visible_alias = "gateway")]
     pub config: Option<PathBuf>,
     /// The form of the log on standard error; RUST_LOG sets its level.
-    #[arg(long, value_enum, default_value_t = Log::Text)]
-    pub log: Log,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text)]
+    pub log: LogFormat,
 }
 
 #[derive(Clone, Debug, Args)]
@@ -62,8 +62,8 @@
     #[arg(long, short, value_name = "FILE")]
     pub config: PathBuf,
     /// The form of the log on standard error; RUST_LOG sets its level.
-    #[arg(long, value_enum, default_value_t = Log::Text)]
-    pub log: Log,
+    #[arg(long, value_enum, default_value_t = LogFormat::Text)]
+    pub log: LogFormat,
 }
 
 #[derive(Debug, Args)]
@@ -95,7 +95,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-pub enum Log {
+pub enum LogFormat {
     /// A line of text.
     #[default]
     Text,
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -117,7 +117,7 @@
         let until = runtime.clock.now() + sr::Span(runtime.limits.removed_class_grace.as_nanos() as u64);
         let (classes, attempts) = (tables.classes.all().join(","), settings.max_attempts);
         runtime.update_longest_deadline(&settings);
-        let retune = crate::core::Reconfiguration { settings, tables, rules, until };
+        let retune = crate::core::Reconfiguration { settings, tables, rules, accept_removed_until: until };
         runtime.feed(Input::Reconfigure(Box::new(retune)));
         runtime.register_classes();
         log::info!(classes = classes.as_str(), attempts = attempts; "new settings are in use");
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -23,7 +23,9 @@
 mod requests;
 mod timers;
 
-pub use input::{Answer, Arrival, AttemptEnd, AttemptId, Effect, Input, Key, ListedRunner, Source, Ticket};
+pub use input::{
+    Answer, Arrival, AttemptEnd, AttemptId, Effect, IdempotencyKey, Input, ListedRunner, Source, Ticket,
+};
 pub use reconfigure::Reconfiguration;
 use timers::Timer;
 
@@ -171,7 +173,7 @@
     }
 
     /// Whether a request of this id is here, answered or not.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn has_request(&self, id: &str) -> bool {
         self.ids.contains_key(id)
     }
 
@@ -208,7 +210,7 @@
                 let answered = ending.outcome.never_ran() || ending.outcome == sr::Outcome::Error;
                 self.ended(now, attempt, ending, if answered { Echo::None } else { Echo::Any });
             }
-            Input::Unusable(attempt) => self.unusable(now, attempt),
+            Input::RequestRejected(attempt) => self.unusable(now, attempt),
             Input::Probed { runner, ok, report } => {
                 if let Some(runner) = self.tables.workers.get(&runner) {
                     self.tell(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
--- a/node/src/core/input.rs
+++ b/node/src/core/input.rs
@@ -37,13 +37,13 @@
     pub estimate: sr::Span,
     pub retry: bool,
     /// The client's key, where keys are kept for its class.
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     pub job: J,
 }
 
 /// A client's key for a request, and what it stands for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Key {
+pub struct IdempotencyKey {
     pub text: Rc<str>,
     pub fingerprint: keys::Fingerprint,
 }
@@ -63,7 +63,7 @@
     pub zone: String,
     pub kind: String,
     pub cell: u32,
-    pub standing: sr::WorkerState,
+    pub state: sr::WorkerState,
     pub size: f64,
     pub up_since: Option<sr::Time>,
 }
@@ -123,7 +123,7 @@
     /// A link saw an attempt end.
     AttemptEnded(AttemptId, AttemptEnd),
     /// A runner can't use the request of an attempt.
-    Unusable(AttemptId),
+    RequestRejected(AttemptId),
     Probed {
         runner: String,
         ok: bool,
@@ -164,7 +164,7 @@
             Input::Progress { .. } => "progress",
             Input::Finished { .. } => "told",
             Input::AttemptEnded(..) => "ended",
-            Input::Unusable(_) => "unusable",
+            Input::RequestRejected(_) => "unusable",
             Input::Probed { .. } => "probed",
             Input::Digest(_) => "digest",
             Input::List(..) => "list",
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -24,7 +24,7 @@
                 zone: sr::ZoneId(zone),
                 kind: sr::KindId(self.tables.kinds.intern(&runner.kind)),
                 cell: runner.cell,
-                state: runner.standing,
+                state: runner.state,
                 size: runner.size,
                 up_since: runner.up_since,
             });
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -16,7 +16,7 @@
     pub rules: Vec<keys::Retention>,
     /// Until then a class that is named no more is taken still: clients that have not heard yet, and
     /// requests on their way.
-    pub until: sr::Time,
+    pub accept_removed_until: sr::Time,
 }
 
 impl<J: Clone> Core<J> {
@@ -35,7 +35,7 @@
     /// Puts new settings to use for what comes from now on; what is under way keeps its class, and makes
     /// no more attempts than both settings allow.
     pub(super) fn retune(&mut self, now: sr::Time, retune: Reconfiguration) {
-        let Reconfiguration { settings, tables, rules, until } = retune;
+        let Reconfiguration { settings, tables, rules, accept_removed_until: until } = retune;
         self.with_tenants = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let renewed = reconcile(&self.settings, &mut self.tables, settings, &tables);
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -1,18 +1,18 @@
 //! The log: lines of text, or one JSON object a line. It owns the form of a line and its level's default.
 //! It must never decide what is logged.
 
-use crate::cli::Log;
+use crate::cli::LogFormat;
 use log::kv::{self, Key, Value, VisitSource};
 use serde_json::{Map, json};
 use std::io::Write;
 
 /// Sets the log up; to be called once.
-pub fn start(form: Log) {
+pub fn start(form: LogFormat) {
     let env = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
     match form {
-        Log::Text => builder.format_timestamp_millis(),
-        Log::Json => builder.format(|out, record| {
+        LogFormat::Text => builder.format_timestamp_millis(),
+        LogFormat::Json => builder.format(|out, record| {
             let mut line = Map::new();
             line.insert("time".into(), json!(out.timestamp_millis().to_string()));
             line.insert("level".into(), json!(record.level().as_str()));
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -96,7 +96,7 @@
                 zone: host.site,
                 kind: host.class,
                 cell: host.block,
-                standing,
+                state: standing,
                 size: host.share.unwrap_or(1.0),
                 up_since: runtime.clock.unix_ms(host.born_ms),
             });
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -538,7 +538,7 @@
             zone: worker.zone.clone(),
             kind: worker.kind.clone(),
             cell: 0,
-            standing,
+            state: standing,
             size: 1.0,
             up_since: Some(worker.since),
         };
@@ -668,7 +668,7 @@
             memory: 0.0,
             estimate: sr::Span::from_secs(figure(&names.cost_us)?.unwrap_or(0.0) / 1e6),
             retry: custom[&names.retry].as_bool().unwrap_or(false),
-            key: self.runtime.key_of(class, &job),
+            key: self.runtime.idempotency_key(class, &job),
             job: Rc::new(job),
         })
     }
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -83,7 +83,7 @@
             queue: None,
             original: None,
         };
-        let key = self.runtime.key_of(head.class, &job);
+        let key = self.runtime.idempotency_key(head.class, &job);
         let (ticket, answer) = self.runtime.ticket(head.class);
         // Dropped with this future when the connection closes before the answer.
         let _here = ClientGuard::new(&self.runtime, ticket);
@@ -164,7 +164,7 @@
             }
         };
         log::trace!("call-back {}", String::from_utf8_lossy(&body));
-        let known = self.runtime.knows(&told.id);
+        let known = self.runtime.has_request(&told.id);
         let peers = self.peers.borrow().clone().filter(|_| !known);
         if let Some(peers) = peers {
             // On one line, as the door takes it: in JSON a line's end is white space only, never in a text.
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -180,7 +180,7 @@
                     log::debug!("runner {} took {}", key.1, key.0);
                     took.set(true);
                 }
-                Answered::Unusable => runtime.feed(Input::Unusable(attempt)),
+                Answered::Unusable => runtime.feed(Input::RequestRejected(attempt)),
                 Answered::Ended(ending) => runtime.feed(Input::AttemptEnded(attempt, ending)),
                 Answered::Garbled => {
                     this.withdraw(key.0, key.1, None);
--- a/node/src/runtime/telling.rs
+++ b/node/src/runtime/telling.rs
@@ -2,7 +2,7 @@
 //! anything but figures.
 
 use super::Runtime;
-use crate::core::{Arrival, AttemptId, Core, Input, Key, Tally};
+use crate::core::{Arrival, AttemptId, Core, IdempotencyKey, Input, Tally};
 use crate::metrics::Metrics;
 use crate::runtime::Job;
 use sablerun as sr;
@@ -67,8 +67,8 @@
     }
 
     /// Whether a request of this id is here.
-    pub fn knows(&self, id: &str) -> bool {
-        self.core.borrow().knows(id)
+    pub fn has_request(&self, id: &str) -> bool {
+        self.core.borrow().has_request(id)
     }
 
     /// Reads from the keys that the core keeps, if it keeps any.
@@ -79,12 +79,12 @@
 
     /// A job's key, where keys are kept for its class: what it stands for is the job's path, query and
     /// body. Costs nothing where none are kept.
-    pub fn key_of(&self, class: u32, job: &Job) -> Option<Key> {
+    pub fn idempotency_key(&self, class: u32, job: &Job) -> Option<IdempotencyKey> {
         let text = job.key.as_deref().filter(|_| self.core.borrow().wants_key(class))?;
         let digest = Sha256::new().chain_update(&job.target).chain_update([0]).chain_update(&job.body);
         let digest: [u8; 32] = digest.finalize().into();
         let print = keys::Fingerprint(std::array::from_fn(|n| digest[n]));
-        Some(Key { text: text.into(), fingerprint: print })
+        Some(IdempotencyKey { text: text.into(), fingerprint: print })
     }
 
     /// Brings the figures on runners up to date: what the module avoids changes with time alone too.
--- a/node/tests/digest/world.rs
+++ b/node/tests/digest/world.rs
@@ -77,7 +77,7 @@
             zone: "a".to_owned(),
             kind: "k".to_owned(),
             cell: 0,
-            standing: sr::WorkerState::Ready,
+            state: sr::WorkerState::Ready,
             size: 1.0,
             up_since: None,
         });
--- a/node/tests/model/take.rs
+++ b/node/tests/model/take.rs
@@ -5,7 +5,7 @@
 use crate::world::{Asked, Client, Tried, World, listed, name, roster};
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{Arrival, AttemptEnd, Input, Key, Source, Ticket};
+use sablerun_node::core::{Arrival, AttemptEnd, IdempotencyKey, Input, Source, Ticket};
 
 impl World {
     pub fn pass(&mut self, until: sr::Time) {
@@ -42,7 +42,7 @@
                     memory: 0.0,
                     estimate: sr::Span(0),
                     retry,
-                    key: key.filter(|_| class > 0).map(|key| Key {
+                    key: key.filter(|_| class > 0).map(|key| IdempotencyKey {
                         text: format!("k{key}").into(),
                         fingerprint: keys::Fingerprint([key; 16]),
                     }),
@@ -99,7 +99,7 @@
                 let (ticket, id, over) =
                     (self.tried[number].ticket, self.tried[number].id, self.tried[number].over);
                 let ends = over.is_none().then_some((number, sr::Outcome::Error));
-                self.input(Input::Unusable(id), ends);
+                self.input(Input::RequestRejected(id), ends);
                 if over.is_none() {
                     let waits = |a: &Asked| a.lead == ticket && a.client == Client::Waits;
                     assert!(!self.asked.iter().any(waits), "tried on what nobody can use");
--- a/node/tests/model/world.rs
+++ b/node/tests/model/world.rs
@@ -63,7 +63,7 @@
 
 pub fn listed(runner: usize, standing: sr::WorkerState) -> ListedRunner {
     let (zone, kind) = (ZONES[runner].to_owned(), "k".to_owned());
-    ListedRunner { name: name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
+    ListedRunner { name: name(runner), zone, kind, cell: 0, state: standing, size: 1.0, up_since: None }
 }
 
 pub fn effects() -> [sr::Idempotency; 3] {
--- a/node/tests/retuning.rs
+++ b/node/tests/retuning.rs
@@ -81,7 +81,7 @@
         zone: "a".to_owned(),
         kind: "k".to_owned(),
         cell: 0,
-        standing: sr::WorkerState::Ready,
+        state: sr::WorkerState::Ready,
         size: 1.0,
         up_since: None,
     };
@@ -109,7 +109,12 @@
         let (settings, tables) = (settings(names.len()), tables(names));
         core.step(
             START,
-            Input::Reconfigure(Box::new(Reconfiguration { settings, tables, rules, until: START })),
+            Input::Reconfigure(Box::new(Reconfiguration {
+                settings,
+                tables,
+                rules,
+                accept_removed_until: START,
+            })),
         );
         let ravi = (!vanish).then_some(1);
         assert!(arrive(&mut core, START, 0, 0, Some(0)).is_empty());
