--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: the list of runners and the watch on its changes, on an address of its own for each
-//! dispatcher, since a runner's `dial` differs from one to another. It owns the list's version, and does
-//! wrong what a test plans.
+//! A stand-in for the platform's discovery service: the runner list and the watch for its changes. Each
+//! dispatcher has its own listening address because a runner's `dial` address differs between dispatchers.
+//! Tests can script faulty replies.
 
 mod calls;
 pub mod lists;
@@ -10,8 +10,8 @@
 use crate::metrics::TrafficSource;
 use crate::region_link::{Partition, RegionLink, View};
 use crate::scripted::Events;
-use calls::Caller;
-use lists::{Entries, Lists, change};
+use calls::Session;
+use lists::{Entries, Lists, change_object};
 use metrics::DiscoveryMetrics;
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -21,77 +21,78 @@
 use tokio::net::TcpListener;
 use tokio::sync::{broadcast, watch};
 
-/// Most changes that a watch may be behind; one that falls further back ends.
-const BEHIND: usize = 1024;
-/// Wait before a listener that ran out of descriptors tries again.
+/// The number of changes that a watch may lag behind; a watch that lags further is closed.
+const MAX_WATCH_LAG: usize = 1024;
+/// Pause before accepting again after an error, such as running out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 struct State {
     lists: Lists,
-    plan: VecDeque<PlannedReply>,
+    replies: VecDeque<PlannedReply>,
 }
 
-/// What a call gets in place of its due.
+/// A scripted reply that replaces the regular one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlannedReply {
-    /// 503.
+    /// Answers 503.
     Unavailable,
-    /// The connection's end.
+    /// Closes the connection without an answer.
     Close,
-    /// The list, and no line after it.
+    /// Sends the list but no further line.
     StalledWatch,
-    /// No answer at all.
+    /// Sends no answer at all.
     NoReply,
-    /// The list, no line after it until the first [`Discovery::resume`], then an empty one and what has changed.
+    /// Sends the list, then nothing until the first [`Discovery::resume`], then an empty line and the
+    /// changes since.
     DelayedUpdates,
-    /// The list as it is at the call, written at the second [`Discovery::resume`].
+    /// Sends the list as of the time of the call, but only at the second [`Discovery::resume`].
     DelayedList,
-    /// The list, and then an object a byte at a time that never ends.
+    /// Sends the list, then an object that never ends, one byte at a time.
     Trickle,
-    /// 503, and the connection's end as a further call comes on it.
+    /// Answers 503, and closes the connection when the next call arrives on it.
     UnavailableThenClose,
 }
 
-/// Who asks, and how they are told.
+/// The dispatchers that call, and the format of their lists.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// From where the list is seen.
+    /// The views of the list.
     pub views: Vec<View>,
-    /// The view of each dispatcher.
+    /// The index into `views` of each dispatcher.
     pub dispatcher_views: Vec<usize>,
-    /// Bytes of a watch's chunks; each object is one if left out.
+    /// The size of a watch's chunks; if `None`, one chunk per line.
     pub chunk_bytes: Option<usize>,
-    /// Whether changes come indented, as lists may.
+    /// Whether changes are sent as indented JSON, which the protocol permits.
     pub indented: bool,
-    /// How many changes are known to those who ask what came after a version.
+    /// The number of changes kept for calls that ask for the changes since a version.
     pub retained_changes: usize,
 }
 
 #[derive(Clone)]
 enum Change {
-    /// What is written, by view.
-    Told(Arc<Vec<String>>),
-    /// Watches end.
-    Broken,
+    /// The line to write, by view.
+    Lines(Arc<Vec<String>>),
+    /// Closes all watches.
+    BreakWatches,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
-    plan: Arc<Config>,
+    config: Arc<Config>,
     link: Arc<RegionLink>,
-    tally: Arc<DiscoveryMetrics>,
+    metrics: Arc<DiscoveryMetrics>,
     changes: broadcast::Sender<Change>,
     resumed: watch::Sender<usize>,
-    /// The calls' first lines.
+    /// The request line of each call.
     pub request_lines: Events,
-    /// Where each dispatcher asks.
+    /// The listening address for each dispatcher.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Discovery {
-    /// Serves each dispatcher its list.
+    /// Starts the service with one list for each dispatcher.
     ///
     /// # Errors
     ///
@@ -100,45 +101,45 @@
         Discovery::start_with_replies(hosts, &[]).await
     }
 
-    /// The same, whose first calls go as planned. Watches always begin with the whole list, in chunks that end
-    /// anywhere.
+    /// As [`Discovery::start`], with scripted replies to the first calls. Watches always begin with the
+    /// whole list, and their chunks may end anywhere in a line.
     ///
     /// # Errors
     ///
     /// If no address is free.
     pub async fn start_with_replies(
         hosts: Vec<Vec<Value>>,
-        calls: &[PlannedReply],
+        replies: &[PlannedReply],
     ) -> std::io::Result<Discovery> {
         let views = vec![View { region: 0, source: TrafficSource::Real }; hosts.len()];
         let dispatcher_views = (0..hosts.len()).collect();
-        let plan =
+        let config =
             Config { views, dispatcher_views, chunk_bytes: Some(37), indented: true, retained_changes: 0 };
-        Discovery::start_with_config(hosts, plan, calls).await
+        Discovery::start_with_config(hosts, config, replies).await
     }
 
-    /// Serves each dispatcher the list of its view.
+    /// Starts the service with one list for each view.
     ///
     /// # Errors
     ///
     /// If no address is free.
     pub async fn start_with_config(
         hosts: Entries,
-        plan: Config,
-        calls: &[PlannedReply],
+        config: Config,
+        replies: &[PlannedReply],
     ) -> std::io::Result<Discovery> {
         let mut listeners = Vec::new();
-        for _ in &plan.dispatcher_views {
+        for _ in &config.dispatcher_views {
             listeners.push(TcpListener::bind("127.0.0.1:0").await?);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let lists = Lists::new(hosts, plan.retained_changes);
+        let lists = Lists::new(hosts, config.retained_changes);
         let discovery = Discovery {
-            state: Arc::new(Mutex::new(State { lists, plan: calls.iter().copied().collect() })),
-            plan: Arc::new(plan),
+            state: Arc::new(Mutex::new(State { lists, replies: replies.iter().copied().collect() })),
+            config: Arc::new(config),
             link: Arc::default(),
-            tally: Arc::default(),
-            changes: broadcast::channel(BEHIND).0,
+            metrics: Arc::default(),
+            changes: broadcast::channel(MAX_WATCH_LAG).0,
             resumed: watch::channel(0).0,
             request_lines: Events::default(),
             addresses,
@@ -151,51 +152,54 @@
                         tokio::time::sleep(ACCEPT_PAUSE).await;
                         continue;
                     };
-                    let caller = Caller::new(discovery.clone(), dispatcher, Connection::new(stream));
-                    tokio::spawn(caller.serve());
+                    let session = Session::new(discovery.clone(), dispatcher, Connection::new(stream));
+                    tokio::spawn(session.serve());
                 }
             });
         }
         Ok(discovery)
     }
 
-    /// Tells every watch of a change: entries for each view. The version that it has.
+    /// Applies a change, given as entries for each view, and sends it to every watch. Returns the new
+    /// version.
     pub fn update(&self, changed: &[Vec<Value>]) -> u64 {
         let mut state = self.state.lock().expect("no holder panics");
-        state.lists.change(changed);
+        state.lists.apply(changed);
         let seq = state.lists.seq();
-        let line = |entries: &Vec<Value>| match self.plan.indented {
-            true => format!("{:#}", change(seq, entries)),
-            false => change(seq, entries).to_string(),
+        let line = |entries: &Vec<Value>| match self.config.indented {
+            true => format!("{:#}", change_object(seq, entries)),
+            false => change_object(seq, entries).to_string(),
         };
-        let _ = self.changes.send(Change::Told(Arc::new(changed.iter().map(line).collect())));
+        let _ = self.changes.send(Change::Lines(Arc::new(changed.iter().map(line).collect())));
         seq
     }
 
-    /// Goes on where the plan has it wait for that.
+    /// Lets replies continue that wait for this call: see [`PlannedReply`].
     pub fn resume(&self) {
         self.resumed.send_modify(|times| *times += 1);
     }
 
-    /// Begins to count anew, as one that was restarted: watches end, and this is the list.
+    /// Simulates a restart of the service: versions start again, watches are closed, and the list is
+    /// replaced.
     pub fn restart(&self, hosts: Vec<Vec<Value>>) {
         let mut state = self.state.lock().expect("no holder panics");
-        state.lists = Lists::new(hosts, self.plan.retained_changes);
-        let _ = self.changes.send(Change::Broken);
+        state.lists = Lists::new(hosts, self.config.retained_changes);
+        let _ = self.changes.send(Change::BreakWatches);
     }
 
-    /// Breaks every watch.
+    /// Closes every watch.
     pub fn break_watches(&self) {
-        let _ = self.changes.send(Change::Broken);
+        let _ = self.changes.send(Change::BreakWatches);
     }
 
-    /// Cuts the link to dispatchers of other regions than discovery's, which is the first, or makes it whole.
-    pub fn set_partition(&self, cut: Option<Partition>) {
-        self.link.set(cut);
+    /// Partitions the service, which is in region 0, from the dispatchers in other regions; `None` restores
+    /// the link.
+    pub fn set_partition(&self, partition: Option<Partition>) {
+        self.link.set(partition);
     }
 
-    /// What was counted.
+    /// Returns the service's metrics.
     pub fn metrics(&self) -> &DiscoveryMetrics {
-        &self.tally
+        &self.metrics
     }
 }
