--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -59,21 +59,22 @@
         self.pending.insert((over_share, rank, id));
     }
 
+    /// Sets a request's deadline, and a timer for two ticks before it.
     pub(super) fn set_deadline(&mut self, id: RequestId, deadline: Time) {
         self.requests.entry(id).and_modify(|request| request.deadline = deadline);
         let at = (deadline - Span(self.settings.tick.0 * 2)).max(self.now);
         self.outbox.push(Action::Timer(at, u64::from(id.0) << 8));
     }
 
-    /// Whether the tenant's requests exceed its share of the traffic here. Which part of the fleet's traffic
-    /// that is, is estimated: the median tenant, most likely within its share, uses most of that part.
+    /// Whether the tenant's requests exceed its share of what arrives here. Which part of the fleet's traffic
+    /// that is has to be estimated: the median tenant, most likely within its share, uses most of that part.
     fn exceeds_share(&mut self, t: usize, retry: bool) -> bool {
         let now = self.now_s;
         let uses = self.tenants.iter().filter(|(quota, ..)| *quota > 0.0);
         let mut parts: Vec<f64> = uses.map(|(.., used, at)| used * decay(now - at, HALF_LIFE_S)).collect();
         parts.sort_by(f64::total_cmp);
-        let middle = parts.get(parts.len().saturating_sub(1) / 2).map_or(0.0, |part| part * SHARE_TOLERANCE);
-        let part = if self.settings.dispatchers == 1 { 1.0 } else { middle };
+        let median = parts.get(parts.len().saturating_sub(1) / 2).map_or(0.0, |part| part * SHARE_TOLERANCE);
+        let part = if self.settings.dispatchers == 1 { 1.0 } else { median };
         let Some((quota, tokens, used, at)) = self.tenants.get_mut(t) else { return false };
         *tokens = (*tokens + *quota * part * (now - *at)).min((*quota * part * 2.0).max(1.0));
         (*used, *at) = (*used * decay(now - *at, HALF_LIFE_S), now);
@@ -153,7 +154,8 @@
         Span::from_secs(usual * 1.5 + tolerated + self.settings.tick.secs())
     }
 
-    /// Refuses the request if a repeat is harmless, holding off for an objective at most; else fails it.
+    /// Refuses the request if a repeat is harmless, with a hold-off of an objective at most; else fails it.
+    /// The only place that gives these answers.
     pub(super) fn refuse_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.closed) else { return };
         let safe = matches!(
--- a/src/balance/estimates.rs
+++ b/src/balance/estimates.rs
@@ -8,7 +8,8 @@
 const PACE_HALF_LIFE_S: f64 = 6.0;
 /// Time constant with which a group without news is believed to become idle again, in seconds.
 const OTHERS_FADE_S: f64 = 30.0;
-/// Gain of an observation in a group's queue estimate; weight that a report old for the work loses.
+/// Gain of an observation in a group's estimate of others' slots, and the largest part of its weight that a
+/// report loses, the older it is compared with the work.
 const OBSERVED: (f64, f64) = (0.2, 0.5);
 
 impl Balancer {
@@ -65,11 +66,11 @@
             return;
         }
         let (running, group) = (self.workers[i].load.running, &mut self.groups[self.workers[i].group]);
-        let (room, usual, free) = (group.slots, group.others, report.free_slots.unwrap_or(0.0));
-        (group.slots, group.max_free) = (room.max(free.round()), group.max_free.max(free));
+        let (capacity, usual, free) = (group.slots, group.others, report.free_slots.unwrap_or(0.0));
+        (group.slots, group.max_free) = (capacity.max(free.round()), group.max_free.max(free));
         let used = match (report.free_slots, report.inflight) {
-            (Some(free), _) if free >= 0.5 => Some(room - free),
-            (Some(_), Some(inflight)) => Some(inflight.max(room)),
+            (Some(free), _) if free >= 0.5 => Some(capacity - free),
+            (Some(_), Some(inflight)) => Some(inflight.max(capacity)),
             (_, inflight) => inflight,
         };
         let weight =
@@ -117,6 +118,7 @@
         self.workers[i].failure_rates[place] = (share, self.now_s);
     }
 
+    /// Returns the decayed failure rate at a place: 0 is for all classes, the next ones for one class each.
     fn failure_rate(&self, i: usize, place: usize) -> f64 {
         let known = self.workers[i].failure_rates.get(place);
         known.map_or(0.0, |(share, at)| share * decay(self.now_s - at, HALF_LIFE_S))
--- a/src/balance/list.rs
+++ b/src/balance/list.rs
@@ -51,7 +51,8 @@
             (0.0, saved.map(|_| self.now + self.settings.saved_list_validity));
     }
 
-    /// Requests the list again, rarely once it has expired; only by the simulator's rule failures extend it.
+    /// Requests the list again: several times until it expires, then rarely. Failures do not prolong its
+    /// validity, except by the simulator's rule.
     pub(super) fn list_lost(&mut self, event: &Event) {
         let Settings { discovery, validity_after_silence, validity_after_loss, .. } = self.settings;
         let within = if *event == Event::ListSilent { validity_after_silence } else { validity_after_loss };
@@ -76,18 +77,14 @@
 
     /// Probes workers without news, in a large fleet as often as `SMALL_FLEET` dispatchers would together.
     pub(super) fn probe_stale(&mut self) {
-        let interval = STALE_S * self.fleet_factor();
-        for (entry, w) in self.entries.iter().zip(&mut self.workers) {
-            if w.listed
-                && !w.drained
-                && entry.state == WorkerState::Ready
-                && self.now_s - w.reported_at > interval
-            {
+        let stale = STALE_S * self.fleet_factor();
+        for (e, w) in self.entries.iter().zip(&mut self.workers) {
+            if w.listed && !w.drained && e.state == WorkerState::Ready && self.now_s - w.reported_at > stale {
                 w.reported_at = self.now_s;
-                self.outbox.push(Action::Probe(entry.worker));
+                self.outbox.push(Action::Probe(e.worker));
             }
         }
-        self.outbox.push(Action::Timer(self.now + Span::from_secs(interval / 4.0), PROBE_TIMER));
+        self.outbox.push(Action::Timer(self.now + Span::from_secs(stale / 4.0), PROBE_TIMER));
     }
 
     /// Whether the list allows the worker: draining always excludes it, gone only where the rules say so.
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -22,15 +22,15 @@
             let usual = &mut self.groups[self.workers[i].group].delays[usize::from(idle == 0.0)];
             *usual += if delay < *usual { 0.3 } else { 0.03 } * (delay.min(*usual * 3.0) - *usual);
             // Slots count as present while starts are prompt, since they become free unnoticed.
-            let (room, prompt) = (self.group(i).slots, delay <= due);
+            let (capacity, prompt) = (self.group(i).slots, delay <= due);
             let objective = self.settings.classes[class].objective.secs();
             self.record_start(i, delay <= due + objective * START_PATIENCE);
-            let excess = self.queue_len(i) - room;
+            let excess = self.queue_len(i) - capacity;
             let change = if prompt { (0.5 * excess).clamp(0.0, 0.5) } else { 0.2 * excess.signum().min(0.0) };
             if !prompt {
-                self.observe_others(i, room - self.workers[i].load.slots);
+                self.observe_others(i, capacity - self.workers[i].load.slots);
             }
-            self.groups[self.workers[i].group].slots = (room + change).max(1.0);
+            self.groups[self.workers[i].group].slots = (capacity + change).max(1.0);
             if hinted && self.settings.progress.0 == 0 {
                 let due = self.now + self.overdue_after(i, work);
                 self.outbox.push(Action::Timer(due, attempt_token(id, number as usize)));
--- a/src/balance/price.rs
+++ b/src/balance/price.rs
@@ -39,20 +39,22 @@
             (self.settings.classes[request.class].idempotency == Idempotency::Safe, &self.workers[i]);
         // A request over its tenant's share leaves a slot free for requests within their shares.
         let (left, reserve) = (1.0 - request.yielded_share * self.full_rate, u8::from(request.over_share));
-        let trial_due = w.trial_at.is_none_or(|trial| safe && self.now_s >= trial && w.load.queued == 0);
+        let eligible = w.trial_at.is_none_or(|trial| safe && self.now_s >= trial && w.load.queued == 0);
         // A job with a hinted running time is not sent where it would finish too late to be useful.
-        let total = self.now_s - request.arrived_s + time;
-        trial_due
-            && (request.hint == 0.0 || total <= request.target * HINTED_TARGET_SHARE)
+        let expected = self.now_s - request.arrived_s + time;
+        eligible
+            && (request.hint == 0.0 || expected <= request.target * HINTED_TARGET_SHARE)
             && self.failure_chance(i, request.class) < FAILING
             && queue + request.slots.ceil() + f64::from(reserve) <= self.group(i).slots * left + 0.5
     }
 
+    /// Whether the worker is outside this dispatcher's zone.
     pub(super) fn is_remote(&self, i: usize) -> bool {
         Some(self.entries[i].zone) != self.settings.zone
     }
 
     /// Whether a send there crosses zones and whether it needs a new connection, where that has a price.
+    /// Crossing does not count while local attempts start late clearly more often than remote ones.
     fn extra_cost(&self, i: usize) -> (bool, bool) {
         let (costs, idle) = (&self.settings.prices, self.workers[i].idle_since.last());
         let limit = self.settings.idle_limit.secs().min(self.safe_idle_s);
@@ -63,9 +65,9 @@
     }
 
     /// Returns `C = (QL + 1) * PT + CD`, divided by the probability that the attempt succeeds.
-    fn price(&self, request: &Request, i: usize, queue: f64, time: f64, new: bool) -> f64 {
+    fn price(&self, request: &Request, i: usize, queue: f64, time: f64, new_connection: bool) -> f64 {
         let penalty = self.settings.prices.cross_zone * f64::from(u8::from(self.is_remote(i)))
-            + self.settings.prices.handshake * f64::from(u8::from(new));
+            + self.settings.prices.handshake * f64::from(u8::from(new_connection));
         let cost = self.workers[i].transfer_s + penalty * request.target;
         (((queue + 1.0) * time + cost) / (1.0 - self.failure_chance(i, request.class)).max(0.05))
             .max(MIN_PRICE)
@@ -76,21 +78,21 @@
         let request = self.requests.remove(&id)?;
         let (mut candidates, mut total) = (Vec::new(), 0.0);
         // Where crossing or a new connection has a price: the local zone first, then an open connection.
-        let mut least = (true, true);
+        let mut lowest = (true, true);
         for i in 0..self.workers.len() {
             // A worker back from a drain gets one request soon; one that failed this request comes last.
             let failed = request.attempts.iter().any(|a| a.worker == i && a.outcome == Some(Outcome::Error));
             let extra = if failed { (true, true) } else { self.extra_cost(i) };
             let extra = if self.workers[i].returned { (false, false) } else { extra };
-            if extra > least || Some(i) == avoid || !self.is_allowed(&request, i) {
+            if extra > lowest || Some(i) == avoid || !self.is_allowed(&request, i) {
                 continue;
             }
             let (queue, time) =
                 (self.queue_len(i).max(0.0), request.work * self.slowness(i) / self.warm_up(i));
             if self.is_ready(&request, i, queue, time) {
-                if extra < least {
+                if extra < lowest {
                     candidates.clear();
-                    (least, total) = (extra, 0.0);
+                    (lowest, total) = (extra, 0.0);
                 }
                 total += 1.0 / self.price(&request, i, queue, time, extra.1);
                 candidates.push((i, total));
--- a/src/balance/retries.rs
+++ b/src/balance/retries.rs
@@ -59,18 +59,16 @@
     /// Queues a request whose attempts have all ended unanswered, if a retry is allowed and useful.
     pub(super) fn retry_or_finish(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        let attempts_left = request.attempts.len() < request.max_attempts;
+        let allowed = request.attempts.len() < request.max_attempts;
         let unsafe_work = self.settings.classes[request.class].idempotency == Idempotency::Unsafe;
-        if attempts_left
-            && self.now < request.start_by
-            && !(unsafe_work && self.may_have_run(request).is_some())
-        {
+        if allowed && self.now < request.start_by && !(unsafe_work && self.may_have_run(request).is_some()) {
             self.pending.insert((request.over_share, request.rank, id));
         } else {
             self.refuse_or_fail(id);
         }
     }
 
+    /// Handles a timer of a request or of one of its attempts.
     pub(super) fn request_timer(&mut self, token: u64) {
         let id = RequestId((token >> 8) as u32);
         let Some(request) = self.requests.get(&id).filter(|r| !r.closed && !r.streaming) else { return };
@@ -107,8 +105,8 @@
         }
         if !started {
             // No start update in time: no slot is free, whoever holds them.
-            let (room, w) = (self.group(i).slots, &mut self.workers[i]);
-            (w.others, w.others_at) = (w.others.max(room - w.load.running), self.now_s);
+            let (capacity, w) = (self.group(i).slots, &mut self.workers[i]);
+            (w.others, w.others_at) = (w.others.max(capacity - w.load.running), self.now_s);
         }
         if newest
             && self.now >= heard + patience
