--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's front: clients' requests, runners' call-backs and the ready check, all on the one
-//! address that the dispatcher is given. It owns the listener and the table of connections accepted
-//! there. It must never read or word a message itself.
+//! The platform's HTTP front: clients' requests, runners' call-backs and the readiness check on one
+//! address. This file holds the listener and the table of accepted connections; messages are read and
+//! written by the submodules.
 
 mod closing;
 mod connection;
@@ -13,7 +13,7 @@
 
 use crate::net::peers::PeerRegistry;
 use crate::net::platform::connection::Connection;
-use crate::net::platform::stream::{Guarded, farewell};
+use crate::net::platform::stream::{GuardedStream, lingering_close};
 use crate::runtime::Runtime;
 use actix_http::{HttpService, KeepAlive};
 use actix_service::{Service, ServiceFactory, fn_service};
@@ -27,26 +27,27 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::AbortHandle;
 
-/// Binds the dispatcher's address.
-pub fn listen(at: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // Guards against a restart that finds its address held by connections of the one before.
+/// Binds the dispatcher's address and listens on it.
+pub fn listen(address: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    // Without it a restart fails while connections of the previous process hold the address.
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// The front.
+/// The HTTP front of the platform.
 pub struct Front {
     runtime: Rc<Runtime>,
+    /// The open connections by number, each with the handle of its task.
     connections: RefCell<HashMap<u64, (Rc<Connection>, AbortHandle)>>,
-    next: Cell<u64>,
-    closed: Notify,
-    /// Told when no more connections are to be accepted.
-    no_more: Notify,
-    /// Who wants to know first how many wait to be accepted.
-    look: RefCell<Option<oneshot::Sender<usize>>>,
-    /// Where call-backs about another process's jobs go, while a process replaces another.
+    next_number: Cell<u64>,
+    connection_closed: Notify,
+    /// Notified when no more connections are to be accepted.
+    stop_accepting: Notify,
+    /// Set for a final accept: receives how many queued connections were accepted before the listener closes.
+    final_accept: RefCell<Option<oneshot::Sender<usize>>>,
+    /// Receives call-backs about another process's jobs during an upgrade.
     peers: RefCell<Option<Rc<PeerRegistry>>>,
 }
 
@@ -55,77 +56,77 @@
         Rc::new(Front {
             runtime: runtime.clone(),
             connections: RefCell::default(),
-            next: Cell::new(0),
-            closed: Notify::new(),
-            no_more: Notify::new(),
-            look: RefCell::default(),
+            next_number: Cell::new(0),
+            connection_closed: Notify::new(),
+            stop_accepting: Notify::new(),
+            final_accept: RefCell::default(),
             peers: RefCell::default(),
         })
     }
 
-    /// Connections accepted and not ended.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Accepts connections; never ends.
+    /// Accepts connections until [`Front::stop_accepting`] or the final accept of a shutdown.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let limits = &self.runtime.limits;
         let front = self.clone();
         let service = HttpService::build()
-            // The stream looks after idle connections and after every head: these here would drop the
-            // socket over a request that is there and not read, and see to a first head only.
+            // `GuardedStream` enforces the timeouts of idle connections and of every head. actix-http's own
+            // would drop the socket over an unread request, and cover only the first head of a connection.
             .keep_alive(KeepAlive::Os)
             .client_request_timeout(Duration::ZERO)
-            // A client that closes its connection while it waits has gone away.
+            // A client that closes its side while it waits for a response counts as gone.
             .h1_allow_half_closed(false)
-            .on_connect_ext(|stream: &Guarded, extensions| {
+            .on_connect_ext(|stream: &GuardedStream, extensions| {
                 extensions.insert(stream.connection.clone());
             })
-            .h1(fn_service(move |request| front.clone().answer(request)))
+            .h1(fn_service(move |request| front.clone().handle(request)))
             .new_service(())
             .await;
         let Ok(service) = service else { return };
-        let take = |stream: TcpStream, peer: SocketAddr| {
+        let spawn_handler = |stream: TcpStream, peer: SocketAddr| {
             let connection = Rc::new(Connection::new());
             let _ = stream.set_nodelay(true);
-            let stream = Guarded::new(stream, connection.clone(), limits);
+            let stream = GuardedStream::new(stream, connection.clone(), limits);
             let handling = service.call((stream, Some(peer)));
-            let number = self.next.get();
-            self.next.set(number + 1);
-            let (front, its) = (self.clone(), connection.clone());
+            let number = self.next_number.get();
+            self.next_number.set(number + 1);
+            let (front, handled) = (self.clone(), connection.clone());
             let task = actix_rt::spawn(async move {
                 let linger = front.runtime.limits.linger;
-                let ended = Ended { front, number };
+                let table_entry = TableEntry { front, number };
                 if let Err(e) = handling.await {
                     log::debug!("connection from {peer}: {e}");
                 }
-                let left = its.left.borrow_mut().take();
-                if let Some(stream) = left {
-                    farewell(stream, linger).await;
+                let closing = handled.closing_stream.borrow_mut().take();
+                if let Some(stream) = closing {
+                    lingering_close(stream, linger).await;
                 }
-                drop(ended);
+                drop(table_entry);
             });
             self.connections.borrow_mut().insert(number, (connection, task.abort_handle()));
         };
         loop {
             self.make_room();
-            // At the limit the rest waits in the listener's queue, unless somebody can be closed.
+            // At the limit, new connections wait in the listen queue until one closes or is evicted.
             while self.connections.borrow().len() >= limits.clients {
-                let _ = tokio::time::timeout(limits.accept_pause, self.closed.notified()).await;
+                let _ = tokio::time::timeout(limits.accept_pause, self.connection_closed.notified()).await;
                 self.make_room();
             }
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                // The listener goes with this: where it is shared, the others take what comes.
-                () = self.no_more.notified() => {
-                    let Some(tell) = self.look.borrow_mut().take() else { return };
+                // Returning drops the listener; the other processes of a shared socket accept what follows.
+                () = self.stop_accepting.notified() => {
+                    let Some(count) = self.final_accept.borrow_mut().take() else { return };
                     let mut queued = 0;
-                    while let Some((stream, peer)) = accept_now(&listener) {
-                        take(stream, peer);
+                    while let Some((stream, peer)) = try_accept(&listener) {
+                        spawn_handler(stream, peer);
                         queued += 1;
                     }
-                    let _ = tell.send(queued);
+                    let _ = count.send(queued);
                     if queued == 0 {
                         return;
                     }
@@ -133,7 +134,7 @@
                 }
             };
             match accepted {
-                Ok((stream, peer)) => take(stream, peer),
+                Ok((stream, peer)) => spawn_handler(stream, peer),
                 Err(e) => {
                     log::warn!("accept: {e}");
                     tokio::time::sleep(limits.accept_pause).await;
@@ -142,18 +143,19 @@
         }
     }
 
-    /// Accepts no more connections, and lets go of the listener. For a listener that other processes
-    /// share: a graceful restart, where the process that replaces this one accepts from now on.
+    /// Accepts no more connections and closes the listener. For a graceful restart on a shared listener,
+    /// where the replacing process accepts from now on.
     pub fn stop_accepting(&self) {
-        self.no_more.notify_one();
+        self.stop_accepting.notify_one();
     }
 
-    /// Hands call-backs about jobs that are not known here on to the other processes of this register.
+    /// Forwards call-backs about jobs unknown here to the other processes of this registry.
     pub fn forward_call_backs_to(&self, peers: PeerRegistry) {
         *self.peers.borrow_mut() = Some(Rc::new(peers));
     }
 
-    /// Nothing is under way here any more: others hand nothing on to this process, which still does.
+    /// Removes this process from the registry once it has no work left: it receives no forwarded call-backs
+    /// from then on, but still forwards its own.
     pub fn unregister(&self) {
         if let Some(peers) = &*self.peers.borrow() {
             peers.unregister();
@@ -161,23 +163,23 @@
     }
 }
 
-/// Somebody who waits to be accepted, without asking the runtime, whose word may be old.
-fn accept_now(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
+/// Accepts a queued connection with a direct system call: tokio's cached readiness may be out of date.
+fn try_accept(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
     let (socket, peer) = SockRef::from(listener).accept().ok()?;
     socket.set_nonblocking(true).ok()?;
     let stream = TcpStream::from_std(socket.into()).ok()?;
     Some((stream, peer.as_socket()?))
 }
 
-/// Takes a connection off the table when its task ends, however it ends.
-struct Ended {
+/// Removes a connection from the table when its task ends, also when the task is aborted.
+struct TableEntry {
     front: Rc<Front>,
     number: u64,
 }
 
-impl Drop for Ended {
+impl Drop for TableEntry {
     fn drop(&mut self) {
         self.front.connections.borrow_mut().remove(&self.number);
-        self.front.closed.notify_one();
+        self.front.connection_closed.notify_one();
     }
 }
--- a/node/src/net/platform/closing.rs
+++ b/node/src/net/platform/closing.rs
@@ -1,8 +1,8 @@
-//! Connections asked to leave: one by one where there is no room, and all of them at the program's end. It
-//! owns who is asked and when the listener is let go; it must never close a connection over a request.
+//! Closing of connections: eviction when the table is full, and all of them at shutdown. Never closes a
+//! connection over a request that may have been read.
 
 use crate::net::platform::Front;
-use crate::net::platform::connection::{Carried, Connection};
+use crate::net::platform::connection::{Connection, Traffic};
 use crate::net::platform::lifecycle::{CloseMode, Stage};
 use crate::net::platform::shutdown::{Observation, Phase, Shutdown};
 use std::rc::Rc;
@@ -11,95 +11,96 @@
 use tokio::task::AbortHandle;
 
 impl Front {
-    /// Has so many connections on their way out that those who come next find room, where any can be
-    /// spared: a connection takes its time to end.
+    /// Evicts connections ahead of need where any can be evicted, because a connection takes time to close.
     pub(super) fn make_room(&self) {
         let limits = &self.runtime.limits;
         let connections = self.connections.borrow();
         let wanted = (connections.len() + limits.clients / 16 + 1).saturating_sub(limits.clients);
-        let leaving = connections.values().filter(|(c, _)| c.leaves()).count();
-        if wanted > leaving {
-            let mut spare: Vec<_> =
-                connections.values().filter_map(|(c, _)| Some((c.rank(limits)?, c))).collect();
-            spare.sort_by_key(|(rank, _)| *rank);
-            spare
+        let closing = connections.values().filter(|(c, _)| c.is_closing_or_evicted()).count();
+        if wanted > closing {
+            let mut evictable: Vec<_> =
+                connections.values().filter_map(|(c, _)| Some((c.eviction_rank(limits)?, c))).collect();
+            evictable.sort_by_key(|(rank, _)| *rank);
+            evictable
                 .iter()
-                .take(wanted - leaving)
-                .for_each(|(_, connection)| connection.ask(CloseMode::Immediate));
+                .take(wanted - closing)
+                .for_each(|(_, connection)| connection.request_close(CloseMode::Immediate));
         }
         if connections.len() >= limits.clients {
-            // Its last answer has been out for a while, and its client does not end its side.
-            let ended = |(c, _): &&(Rc<Connection>, AbortHandle)| {
-                c.ends() && c.touched.get().elapsed() > limits.flush
+            // The last response was written a while ago and the client has not closed its side.
+            let lingering = |(c, _): &&(Rc<Connection>, AbortHandle)| {
+                c.is_closing() && c.last_activity.get().elapsed() > limits.flush
             };
-            if let Some((_, task)) = connections.values().find(ended) {
+            if let Some((_, task)) = connections.values().find(lingering) {
                 task.abort();
             }
         }
     }
 
-    /// Near the limit connections are not kept, so that those who wait for one get their turn. Silent ones
-    /// don't count: they are closed for those who wait, and must not cost clients theirs.
-    pub(super) fn crowded(&self) -> bool {
-        let used = |(c, _): &&(Rc<Connection>, AbortHandle)| c.carried.get() != Carried::Nothing;
+    /// Whether the table is at 90 % of its limit: then connections close after each response, so that
+    /// clients in the listen queue get their turn. Connections without traffic don't count: they are evicted
+    /// on demand, and must not cost active clients theirs.
+    pub(super) fn near_limit(&self) -> bool {
+        let used = |(c, _): &&(Rc<Connection>, AbortHandle)| c.traffic.get() != Traffic::Nothing;
         let used = self.connections.borrow().values().filter(used).count();
         used * 10 >= self.runtime.limits.clients * 9
     }
 
-    /// The way to the program's end. A shared socket has a successor behind it: new connections are its,
-    /// at once, and clients leave idle ones for it. Else the platform needs a spell to notice, in which
-    /// clients find this process as usual.
-    pub async fn shut_down(&self, mut ending: Shutdown, shared: bool) {
-        let told = Instant::now();
+    /// Shuts down gracefully. On a shared socket the successor accepts new connections at once. Otherwise
+    /// the platform needs a grace period to notice, in which this process serves as usual.
+    pub async fn shut_down(&self, mut shutdown: Shutdown, shared: bool) {
+        let started = Instant::now();
         if shared {
             self.stop_accepting();
         }
-        let mut seen = Observation::default();
+        let mut observed = Observation::default();
         loop {
-            let before = ending.phase();
-            seen.elapsed = told.elapsed();
-            seen.active = self.runtime.open() + self.under_way();
-            seen.connections = self.connections.borrow().len();
-            match ending.step(&seen) {
+            let before = shutdown.phase();
+            observed.elapsed = started.elapsed();
+            observed.active = self.runtime.open() + self.active_connections();
+            observed.connections = self.connections.borrow().len();
+            match shutdown.step(&observed) {
                 Phase::Draining if before == Phase::Serving => {
                     log::info!("lets clients go: {}", self.runtime.summary());
                     self.runtime.stop();
-                    // But not runners, whose call-backs the jobs under way still need.
-                    self.ask_all(|c| c.carried.get() == Carried::Requests, CloseMode::Graceful);
+                    // Not runners' connections: the jobs in progress still need their call-backs.
+                    self.request_close_of(|c| c.traffic.get() == Traffic::Requests, CloseMode::Graceful);
                 }
-                Phase::FinalAccept => seen.accepted = if shared { 0 } else { self.last_look().await },
+                Phase::FinalAccept => observed.accepted = if shared { 0 } else { self.accept_queued().await },
                 Phase::Closing if before == Phase::FinalAccept => {
                     self.unregister();
-                    self.ask_all(
-                        |c| matches!(c.life.get().stage(), Stage::New | Stage::Idle),
+                    self.request_close_of(
+                        |c| matches!(c.lifecycle.get().stage(), Stage::New | Stage::Idle),
                         CloseMode::Immediate,
                     );
-                    self.ask_all(|_| true, CloseMode::Graceful);
+                    self.request_close_of(|_| true, CloseMode::Graceful);
                 }
                 Phase::Done => return,
                 _ => {}
             }
-            let pause = ending.next_check().saturating_sub(told.elapsed());
+            let pause = shutdown.next_check().saturating_sub(started.elapsed());
             tokio::time::sleep(pause.max(self.runtime.limits.look)).await;
         }
     }
 
-    fn ask_all(&self, whom: impl Fn(&Connection) -> bool, how: CloseMode) {
-        self.connections.borrow().values().filter(|(c, _)| whom(c)).for_each(|(c, _)| c.ask(how));
+    fn request_close_of(&self, selected: impl Fn(&Connection) -> bool, mode: CloseMode) {
+        let connections = self.connections.borrow();
+        connections.values().filter(|(c, _)| selected(c)).for_each(|(c, _)| c.request_close(mode));
     }
 
-    /// Connections with something being read or written.
-    fn under_way(&self) -> usize {
-        self.connections.borrow().values().filter(|(c, _)| c.life.get().is_active()).count()
+    /// Returns the number of connections on which something is being read, awaited or written.
+    fn active_connections(&self) -> usize {
+        self.connections.borrow().values().filter(|(c, _)| c.lifecycle.get().is_active()).count()
     }
 
-    /// Accepts whoever waits for it; how many. If nobody does, the listener closes in the same breath.
-    async fn last_look(&self) -> usize {
-        let (tell, told) = oneshot::channel();
-        *self.look.borrow_mut() = Some(tell);
-        self.no_more.notify_one();
-        // Where the table is full nobody is accepted, but may be soon.
-        let told = tokio::time::timeout(self.runtime.limits.accept_pause, told).await;
-        told.map_or(1, |told| told.unwrap_or(0))
+    /// Accepts all queued connections and returns their number. If there are none, the listener closes
+    /// without another chance for one to be queued in between.
+    async fn accept_queued(&self) -> usize {
+        let (sender, accepted) = oneshot::channel();
+        *self.final_accept.borrow_mut() = Some(sender);
+        self.stop_accepting.notify_one();
+        // While the table is full nothing is accepted: report one, so that the caller tries again.
+        let accepted = tokio::time::timeout(self.runtime.limits.accept_pause, accepted).await;
+        accepted.map_or(1, |accepted| accepted.unwrap_or(0))
     }
 }
--- a/node/src/net/platform/connection.rs
+++ b/node/src/net/platform/connection.rs
@@ -1,5 +1,5 @@
-//! What the front knows of an accepted connection: where it stands, what it has carried and whether it can
-//! be spared. It must never read, write or close anything.
+//! State that the front keeps for an accepted connection: its stage, its traffic so far and whether it can be
+//! evicted. Performs no I/O.
 
 use crate::limits::Limits;
 use crate::net::platform::lifecycle::{CloseMode, Lifecycle, Stage};
@@ -8,9 +8,9 @@
 use std::time::Instant;
 use tokio::net::TcpStream;
 
-/// What a connection has carried.
+/// The kind of traffic that a connection has carried.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Carried {
+pub(super) enum Traffic {
     Nothing,
     Requests,
     CallBacks,
@@ -18,68 +18,69 @@
 
 /// One accepted connection.
 pub(super) struct Connection {
-    pub life: Cell<Lifecycle>,
-    /// What came over it so far.
-    pub carried: Cell<Carried>,
+    pub lifecycle: Cell<Lifecycle>,
+    /// What it has carried so far.
+    pub traffic: Cell<Traffic>,
     /// When it was opened, last read from or last written to.
-    pub touched: Cell<Instant>,
-    /// Wakes whoever reads from it.
+    pub last_activity: Cell<Instant>,
+    /// Wakes the task that reads from it.
     pub reader: RefCell<Option<Waker>>,
-    /// Its socket, once nothing more is answered on it.
-    pub left: RefCell<Option<TcpStream>>,
+    /// Its socket, once no more responses are written to it.
+    pub closing_stream: RefCell<Option<TcpStream>>,
 }
 
 impl Connection {
     pub fn new() -> Connection {
         Connection {
-            life: Cell::default(),
-            carried: Cell::new(Carried::Nothing),
-            touched: Cell::new(Instant::now()),
+            lifecycle: Cell::default(),
+            traffic: Cell::new(Traffic::Nothing),
+            last_activity: Cell::new(Instant::now()),
             reader: RefCell::default(),
-            left: RefCell::default(),
+            closing_stream: RefCell::default(),
         }
     }
 
-    /// Changes where it stands.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Lifecycle) -> T) -> T {
-        let mut life = self.life.get();
-        let result = change(&mut life);
-        self.life.set(life);
+    /// Updates its lifecycle and returns the result of the update.
+    pub fn update<T>(&self, update: impl FnOnce(&mut Lifecycle) -> T) -> T {
+        let mut lifecycle = self.lifecycle.get();
+        let result = update(&mut lifecycle);
+        self.lifecycle.set(lifecycle);
         result
     }
 
-    /// Asks it to leave; its reader sees to it.
-    pub fn ask(&self, how: CloseMode) {
-        self.change(|life| life.request_close(how));
+    /// Asks it to close, which its reader does.
+    pub fn request_close(&self, mode: CloseMode) {
+        self.update(|lifecycle| lifecycle.request_close(mode));
         if let Some(reader) = &*self.reader.borrow() {
             reader.wake_by_ref();
         }
     }
 
-    /// Its answers have been written: what is left of it is its end.
-    pub fn ends(&self) -> bool {
-        self.life.get().stage() == Stage::Closed
+    /// Whether its last response has been written and only the close is left.
+    pub fn is_closing(&self) -> bool {
+        self.lifecycle.get().stage() == Stage::Closed
     }
 
-    /// It is on its way out, or asked to go at once.
-    pub fn leaves(&self) -> bool {
-        self.ends() || self.life.get().close_requested() == Some(CloseMode::Immediate)
+    /// Whether it is closing, or was asked to close immediately.
+    pub fn is_closing_or_evicted(&self) -> bool {
+        self.is_closing() || self.lifecycle.get().close_requested() == Some(CloseMode::Immediate)
     }
 
-    /// Who goes first, and among those the one that has rested the longest, where there is no room.
-    /// Guards against bad clients that keep others out by silence; could do harm where a usual client's
-    /// first request takes longer than `silent`, so nobody is closed sooner, and a runner's last.
-    pub fn rank(&self, limits: &Limits) -> Option<(u8, Instant)> {
-        let (touched, rested) = (self.touched.get(), self.touched.get().elapsed());
-        let (rank, least) = match (self.life.get().stage(), self.carried.get()) {
-            _ if self.leaves() => return None,
+    /// The order of eviction when there is no room: by rank, and within a rank the longest idle first.
+    /// None if it can't be evicted now. Keeps bad clients from locking others out with silent connections.
+    /// A normal client's first request may take a while, so none is evicted before `silent`, and
+    /// connections of runners go last.
+    pub fn eviction_rank(&self, limits: &Limits) -> Option<(u8, Instant)> {
+        let (last_activity, idle) = (self.last_activity.get(), self.last_activity.get().elapsed());
+        let (rank, min_idle) = match (self.lifecycle.get().stage(), self.traffic.get()) {
+            _ if self.is_closing_or_evicted() => return None,
             (Stage::HeadRead | Stage::ReadingBody(_) | Stage::AwaitingResponse, _) => return None,
-            // Its client takes nothing of the answer.
+            // Its client does not read the response.
             (Stage::WritingResponse, _) => (0, limits.head),
-            (_, Carried::Nothing) => (1, limits.silent),
-            (_, Carried::Requests) => (2, limits.sweep),
-            (_, Carried::CallBacks) => (3, limits.sweep),
+            (_, Traffic::Nothing) => (1, limits.silent),
+            (_, Traffic::Requests) => (2, limits.sweep),
+            (_, Traffic::CallBacks) => (3, limits.sweep),
         };
-        (rested > least).then_some((rank, touched))
+        (idle > min_idle).then_some((rank, last_activity))
     }
 }
--- a/node/src/net/platform/head.rs
+++ b/node/src/net/platform/head.rs
@@ -1,12 +1,11 @@
-//! What a request's head says. It owns how the platform's headers are read and what is wrong with them;
-//! it must never wait, nor hand anything in.
+//! Reads a request's head: the platform's headers, and what is wrong with them.
 
 use crate::runtime::Runtime;
 use actix_http::header::{HeaderMap, HeaderName};
 use actix_http::{HttpMessage, Request};
 use sablerun as sr;
 
-/// What a request's head says.
+/// The job attributes in a request's head.
 pub(super) struct Head {
     pub id: String,
     pub class: u32,
@@ -14,7 +13,7 @@
     pub tenant: Option<u32>,
     pub tenant_name: Option<String>,
     pub key: Option<String>,
-    pub patience: sr::Span,
+    pub timeout: sr::Span,
     pub slots: f64,
     pub memory: f64,
     pub estimate: sr::Span,
@@ -22,20 +21,22 @@
 }
 
 impl Head {
+    /// Reads the headers; the error is the reason for a 400 response.
     pub fn read(runtime: &Runtime, request: &Request) -> Result<Head, String> {
         let headers = request.headers();
-        let optional = |name: &'static str| text(headers, &HeaderName::from_static(name));
-        let needed = |name: &'static str| optional(name)?.ok_or_else(|| format!("{name} is missing"));
-        let id = needed("x-request-id")?;
-        // It becomes part of a path when an attempt is given up.
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
-        if id.is_empty() || id.len() > 128 || !id.bytes().all(plain) {
+        let optional = |name: &'static str| header_text(headers, &HeaderName::from_static(name));
+        let required = |name: &'static str| optional(name)?.ok_or_else(|| format!("{name} is missing"));
+        let id = required("x-request-id")?;
+        // The id becomes part of a URL path when an attempt is cancelled.
+        let unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
+        if id.is_empty() || id.len() > 128 || !id.bytes().all(unreserved) {
             return Err("x-request-id is malformed".to_owned());
         }
-        let class_name = needed("x-priority-class")?;
-        // Only jobs of a keyed class carry a key: one that must never run twice may come without.
-        let known = |number, class: &sr::Class| (number, matches!(class.effect, sr::Effect::Keyed(_)));
-        let class = runtime.with_class(class_name, known);
+        let class_name = required("x-priority-class")?;
+        // Only jobs of a keyed class must carry a key: a job that must never run twice may come without one.
+        let number_and_keyed =
+            |number, class: &sr::Class| (number, matches!(class.effect, sr::Effect::Keyed(_)));
+        let class = runtime.with_class(class_name, number_and_keyed);
         let (class, keyed) = class.ok_or("x-priority-class names no known class")?;
         let tenant_name = optional("x-tenant-id")?;
         let tenant = runtime.tenant(tenant_name);
@@ -44,14 +45,15 @@
         if keyed && key.is_none_or(str::is_empty) {
             return Err("idempotency-key is missing".to_owned());
         }
-        let patience = timeout(needed("x-timeout")?).ok_or("x-timeout is malformed")?;
-        let cost = optional("x-cost")?.map(|text| number(text).ok_or("x-cost is malformed")).transpose()?;
+        let timeout = parse_timeout(required("x-timeout")?).ok_or("x-timeout is malformed")?;
+        let cost =
+            optional("x-cost")?.map(|text| parse_number(text).ok_or("x-cost is malformed")).transpose()?;
         let (mut slots, mut memory) = (1.0, 0.0);
         for part in optional("x-attrs")?.unwrap_or("").split(',').filter(|part| !part.trim().is_empty()) {
             let (name, value) = part.split_once('=').ok_or("x-attrs is malformed")?;
             match name.trim() {
-                "slots" | "needs" => slots = number(value).ok_or("x-attrs: slots is malformed")?,
-                "memory" => memory = number(value).ok_or("x-attrs: memory is malformed")?,
+                "slots" | "needs" => slots = parse_number(value).ok_or("x-attrs: slots is malformed")?,
+                "memory" => memory = parse_number(value).ok_or("x-attrs: memory is malformed")?,
                 _ => {}
             }
         }
@@ -62,7 +64,7 @@
             tenant,
             tenant_name: tenant_name.map(str::to_owned),
             key: key.map(str::to_owned),
-            patience,
+            timeout,
             slots,
             memory,
             estimate: sr::Span::from_secs(cost.unwrap_or(0.0) / 1e6),
@@ -71,23 +73,24 @@
     }
 }
 
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, String> {
+/// Returns a header's value as trimmed text, if the header is there.
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, String> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(|text| Some(text.trim())).map_err(|_| format!("{name} is malformed"))
 }
 
-/// A figure that is neither negative nor senseless.
-fn number(text: &str) -> Option<f64> {
+/// Parses a number that is finite and not negative.
+fn parse_number(text: &str) -> Option<f64> {
     text.trim().parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0)
 }
 
-/// A time with its unit: `m` for milliseconds or `u` for microseconds.
-fn timeout(text: &str) -> Option<sr::Span> {
+/// Parses a time with its unit: `m` for milliseconds or `u` for microseconds.
+fn parse_timeout(text: &str) -> Option<sr::Span> {
     let unit = match text.as_bytes().last()? {
         b'm' => 1e-3,
         b'u' => 1e-6,
         _ => return None,
     };
     // No client waits for more than a day.
-    Some(sr::Span::from_secs(number(&text[..text.len() - 1])?.min(86_400.0 / unit) * unit))
+    Some(sr::Span::from_secs(parse_number(&text[..text.len() - 1])?.min(86_400.0 / unit) * unit))
 }
--- a/node/src/net/platform/lifecycle.rs
+++ b/node/src/net/platform/lifecycle.rs
@@ -1,121 +1,120 @@
-//! A client's connection from its acceptance to its end: which bytes may be read as what, when it counts
-//! as under way, and when it may be let go without losing a request. It must never read, write, wait or
-//! ask what time it is.
+//! State machine of an accepted connection, from accept to close: which bytes may be parsed, whether it
+//! counts as active, and when it may close without losing a request. Contains no I/O and no clock.
 
-/// Where a connection stands.
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
     /// Accepted; nothing of a request has been read.
     #[default]
     New,
-    /// A head is begun.
+    /// Part of a head has been read.
     ReadingHead,
-    /// A whole head was handed on; what request it is has not been said yet.
+    /// A whole head was passed to the parser, which has not reported the request yet.
     HeadRead,
-    /// So many bytes of the request's body are to come; `None` where its own framing ends it.
+    /// This many bytes of the request's body are missing; `None` where the body's own framing ends it.
     ReadingBody(Option<usize>),
-    /// The request was read whole and has no answer yet.
+    /// The request was read whole and has no response yet.
     AwaitingResponse,
-    /// The answer is being written.
+    /// The response is being written.
     WritingResponse,
     /// Between two requests.
     Idle,
-    /// Nothing is read as a request any more.
+    /// Nothing is parsed as a request any more.
     Closed,
 }
 
-/// How a connection is asked to leave.
+/// How a connection is asked to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseMode {
-    /// After what is under way, or may be.
+    /// After the current request, or one that may be on its way.
     Graceful,
-    /// There is no room: whoever has nothing under way goes now.
+    /// Now if no request has begun: the connection is evicted to make room.
     Immediate,
 }
 
-/// A head longer than allowed.
+/// The error for a head longer than allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeadTooLong;
 
-/// How far into a head the bytes read so far go.
+/// Finds the end of a head in the bytes read so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Scan {
+struct HeadScanner {
     bytes: usize,
-    /// Bytes of the line that is not ended yet.
-    line: usize,
-    /// A line that is not empty has been read: an empty one ends the head.
+    /// Bytes of the current line.
+    line_bytes: usize,
+    /// A line that is not empty has been read, so that an empty one ends the head.
     begun: bool,
 }
 
-impl Scan {
-    /// How many of the bytes belong to the head, and whether it ends with them.
-    fn take(&mut self, read: &[u8]) -> (usize, bool) {
-        for (place, &byte) in read.iter().enumerate() {
+impl HeadScanner {
+    /// Returns how many of the bytes belong to the head, and whether it ends with them.
+    fn scan(&mut self, bytes: &[u8]) -> (usize, bool) {
+        for (index, &byte) in bytes.iter().enumerate() {
             self.bytes += 1;
             match byte {
-                b'\n' if self.begun && self.line == 0 => return (place + 1, true),
-                b'\n' => self.line = 0,
+                b'\n' if self.begun && self.line_bytes == 0 => return (index + 1, true),
+                b'\n' => self.line_bytes = 0,
                 b'\r' => {}
-                _ => (self.begun, self.line) = (true, self.line + 1),
+                _ => (self.begun, self.line_bytes) = (true, self.line_bytes + 1),
             }
         }
-        (read.len(), false)
+        (bytes.len(), false)
     }
 }
 
-/// A connection's life.
+/// The lifecycle of a connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
     stage: Stage,
-    scan: Scan,
-    leave: Option<CloseMode>,
-    /// The request under way is the connection's last.
-    last: bool,
-    /// Asked to go now while its client took nothing of an answer.
-    stuck: bool,
+    scanner: HeadScanner,
+    close_requested: Option<CloseMode>,
+    /// The current request is the connection's last.
+    last_request: bool,
+    /// Asked to close immediately while a response was being written.
+    evicted_while_writing: bool,
 }
 
 impl Lifecycle {
-    /// Where it stands.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How it was asked to leave, if it was.
+    /// Returns how it was asked to close, if it was.
     pub fn close_requested(&self) -> Option<CloseMode> {
-        self.leave
+        self.close_requested
     }
 
-    /// Something is being read, awaited by a client, or written.
+    /// Whether something is being read, awaited by a client, or written.
     pub fn is_active(&self) -> bool {
         !matches!(self.stage, Stage::Idle | Stage::Closed)
     }
 
-    /// How many of these bytes may be parsed now. Never more than one message: what is behind a request
-    /// stays where it is until that has its answer.
+    /// Returns how many of the buffered bytes may be parsed now. Never more than one message: what follows a
+    /// request is held back until its response has been written.
     ///
     /// # Errors
     ///
-    /// The head is longer than `most`.
-    pub fn pass_to_parser(&mut self, held: &[u8], most: usize) -> Result<usize, HeadTooLong> {
+    /// The head is longer than `max_head_bytes`.
+    pub fn pass_to_parser(&mut self, buffered: &[u8], max_head_bytes: usize) -> Result<usize, HeadTooLong> {
         match &mut self.stage {
             Stage::New | Stage::ReadingHead | Stage::Idle => {
-                let (bytes, done) = self.scan.take(held);
-                if self.scan.bytes > most {
+                let (bytes, done) = self.scanner.scan(buffered);
+                if self.scanner.bytes > max_head_bytes {
                     return Err(HeadTooLong);
                 }
                 if done {
                     self.stage = Stage::HeadRead;
-                } else if self.scan.begun {
+                } else if self.scanner.begun {
                     self.stage = Stage::ReadingHead;
                 }
                 Ok(bytes)
             }
-            Stage::ReadingBody(None) => Ok(held.len()),
-            Stage::ReadingBody(Some(rest)) => {
-                let bytes = held.len().min(*rest);
-                *rest -= bytes;
-                if *rest == 0 {
+            Stage::ReadingBody(None) => Ok(buffered.len()),
+            Stage::ReadingBody(Some(missing)) => {
+                let bytes = buffered.len().min(*missing);
+                *missing -= bytes;
+                if *missing == 0 {
                     self.stage = Stage::AwaitingResponse;
                 }
                 Ok(bytes)
@@ -124,62 +123,63 @@
         }
     }
 
-    /// The head handed on was a request's, with so long a body. False for one that is not this connection's
-    /// to serve: it was read past the last answer's end.
+    /// Notes that the parsed head began a request with a body of this length. Returns false for a request that
+    /// must not be served because it was parsed after the connection's last response.
     pub fn request_started(&mut self, body: Option<usize>) -> bool {
         if self.stage != Stage::HeadRead {
             return false;
         }
         self.stage = if body == Some(0) { Stage::AwaitingResponse } else { Stage::ReadingBody(body) };
-        // Where a body ends by its own framing, what is behind it may have been read with it.
-        self.last = body.is_none();
+        // Where the body's own framing ends it, the parser may have read what follows along with it.
+        self.last_request = body.is_none();
         true
     }
 
-    /// More came behind the request than is kept: nothing after it can be read.
+    /// Notes that input behind the current request was discarded, so that no later request can be read.
     pub fn discarded_input(&mut self) {
-        self.last = true;
+        self.last_request = true;
     }
 
-    /// The request's answer is about to be written, and ends the connection or not; whether it does.
+    /// Notes that the response is about to be written. Returns whether the connection closes after it.
     pub fn response_started(&mut self, close: bool) -> bool {
-        // A body that is not read whole stands in the way of what follows.
-        self.last |= close || self.leave.is_some() || matches!(self.stage, Stage::ReadingBody(_));
+        // The unread rest of a body would be taken for the next request.
+        self.last_request |=
+            close || self.close_requested.is_some() || matches!(self.stage, Stage::ReadingBody(_));
         if self.stage != Stage::Closed {
             self.stage = Stage::WritingResponse;
         }
-        self.last
+        self.last_request
     }
 
-    /// Everything to be written has been.
+    /// Notes that everything to be written has been.
     pub fn response_flushed(&mut self) {
         if self.stage == Stage::WritingResponse {
-            self.scan = Scan::default();
-            self.stage = if self.last { Stage::Closed } else { Stage::Idle };
+            self.scanner = HeadScanner::default();
+            self.stage = if self.last_request { Stage::Closed } else { Stage::Idle };
         }
     }
 
-    /// It is to leave.
-    pub fn request_close(&mut self, how: CloseMode) {
-        self.leave = self.leave.max(Some(how));
-        self.stuck |= how == CloseMode::Immediate && self.stage == Stage::WritingResponse;
+    /// Asks the connection to close.
+    pub fn request_close(&mut self, mode: CloseMode) {
+        self.close_requested = self.close_requested.max(Some(mode));
+        self.evicted_while_writing |= mode == CloseMode::Immediate && self.stage == Stage::WritingResponse;
     }
 
-    /// Whether its answer is not waited for any more.
+    /// Whether to abort the response, which its client does not read while others need the connection's place.
     pub fn write_stalled(&self) -> bool {
-        self.stuck && self.stage == Stage::WritingResponse
+        self.evicted_while_writing && self.stage == Stage::WritingResponse
     }
 
-    /// Whether it may end now, if there is nothing more to read.
+    /// Whether it may close now, if there is nothing more to read.
     pub fn may_close(&self) -> bool {
         match self.stage {
-            Stage::Idle => self.leave.is_some(),
-            Stage::New => self.leave == Some(CloseMode::Immediate),
+            Stage::Idle => self.close_requested.is_some(),
+            Stage::New => self.close_requested == Some(CloseMode::Immediate),
             _ => false,
         }
     }
 
-    /// Nothing is read as a request from now on.
+    /// Stops parsing: nothing is read as a request from now on.
     pub fn close(&mut self) {
         self.stage = Stage::Closed;
     }
--- a/node/src/net/platform/reply.rs
+++ b/node/src/net/platform/reply.rs
@@ -1,10 +1,10 @@
-//! Answers before they are written. It owns how they are worded; it must never decide which one is given.
+//! HTTP responses of the front before they are built, with constructors for the common errors.
 
 use actix_http::StatusCode;
 use actix_http::header::{self, HeaderName};
 use bytes::Bytes;
 
-/// An answer before it is written.
+/// A response before it is built.
 pub(super) struct Reply {
     pub status: StatusCode,
     pub header: Option<(HeaderName, String)>,
@@ -17,9 +17,9 @@
         Reply { status, header: None, body: Bytes::from_static(body.as_bytes()), close: false }
     }
 
-    pub fn bad(what: String) -> Reply {
-        // Whoever wrote that has nothing to say that would be worth a place.
-        Reply { body: what.into(), close: true, ..Reply::new(StatusCode::BAD_REQUEST, "") }
+    pub fn bad_request(reason: String) -> Reply {
+        // A client that sends malformed requests does not keep its connection.
+        Reply { body: reason.into(), close: true, ..Reply::new(StatusCode::BAD_REQUEST, "") }
     }
 
     pub fn too_large() -> Reply {
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -7,8 +7,8 @@
 use crate::net::callbacks::{self, CallBack};
 use crate::net::peers::Forwarded;
 use crate::net::platform::Front;
-use crate::net::platform::connection::{Carried, Connection};
-use crate::net::platform::head::{Head, text};
+use crate::net::platform::connection::{Connection, Traffic};
+use crate::net::platform::head::{Head, header_text};
 use crate::net::platform::reply::Reply;
 use crate::runtime::{Here, Job};
 use actix_http::header::{self, HeaderName};
@@ -20,19 +20,20 @@
 use std::rc::Rc;
 
 impl Front {
-    pub(super) async fn answer(self: Rc<Self>, mut request: Request) -> Result<Response<Bytes>, Infallible> {
+    /// Handles any request on the front's address.
+    pub(super) async fn handle(self: Rc<Self>, mut request: Request) -> Result<Response<Bytes>, Infallible> {
         let arrived = self.runtime.clock.now();
         let connection = request.conn_data::<Rc<Connection>>().cloned();
-        let runners = request.path() == "/v1/job-events";
-        let ours = connection.as_ref().is_some_and(|connection| {
-            connection.carried.set(if runners { Carried::CallBacks } else { Carried::Requests });
-            connection.change(|life| life.request_started(length(&request)))
+        let from_runner = request.path() == "/v1/job-events";
+        let started = connection.as_ref().is_some_and(|connection| {
+            connection.traffic.set(if from_runner { Traffic::CallBacks } else { Traffic::Requests });
+            connection.update(|lifecycle| lifecycle.request_started(body_length(&request)))
         });
         let reply = match (request.path(), request.method()) {
-            // Behind its connection's last answer, where nobody reads another: not taken.
-            _ if !ours => Reply { close: true, ..Reply::new(StatusCode::SERVICE_UNAVAILABLE, "") },
-            ("/api", &Method::POST) => self.job(arrived, &mut request).await,
-            ("/v1/job-events", &Method::POST) => self.call_back(&mut request).await,
+            // Parsed after the connection's last response, so that nobody would read this one: not served.
+            _ if !started => Reply { close: true, ..Reply::new(StatusCode::SERVICE_UNAVAILABLE, "") },
+            ("/api", &Method::POST) => self.handle_job(arrived, &mut request).await,
+            ("/v1/job-events", &Method::POST) => self.handle_call_back(&mut request).await,
             ("/up", &Method::GET) if self.runtime.admits() => Reply::new(StatusCode::OK, ""),
             ("/up", &Method::GET) => Reply::new(StatusCode::SERVICE_UNAVAILABLE, "no list yet"),
             ("/api" | "/v1/job-events", _) => Reply::not_allowed("POST"),
@@ -43,35 +44,36 @@
         if let Some((name, value)) = reply.header {
             response.insert_header((name, value));
         }
-        let close = reply.close || self.crowded() || !runners && self.runtime.stopping();
-        if connection.is_none_or(|connection| connection.change(|life| life.response_started(close))) {
+        let close = reply.close || self.near_limit() || !from_runner && self.runtime.stopping();
+        if connection.is_none_or(|connection| connection.update(|state| state.response_started(close))) {
             response.force_close();
         }
         Ok(response.message_body(reply.body).unwrap_or_else(|_| {
-            let plain = Response::with_body(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new());
-            log::error!("an answer could not be worded");
-            plain
+            let empty = Response::with_body(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new());
+            log::error!("a response could not be built");
+            empty
         }))
     }
 
-    /// A client's request, from its head to its final answer.
-    async fn job(&self, arrived: sr::Time, request: &mut Request) -> Reply {
+    /// Handles a client's job, from its head to its final answer.
+    async fn handle_job(&self, arrived: sr::Time, request: &mut Request) -> Reply {
         let head = match Head::read(&self.runtime, request) {
             Ok(head) => head,
-            Err(what) => {
-                log::debug!("a request is turned away: {what}");
-                self.turned_away(request);
-                return Reply::bad(what);
+            Err(reason) => {
+                log::debug!("a request is rejected: {reason}");
+                self.count_rejected(request);
+                return Reply::bad_request(reason);
             }
         };
         let body = match self.read_body(request).await {
             Ok(body) => body,
             Err(reply) => {
-                self.turned_away(request);
+                self.count_rejected(request);
                 return reply;
             }
         };
-        let content_type = text(request.headers(), &header::CONTENT_TYPE).ok().flatten().map(str::to_owned);
+        let content_type =
+            header_text(request.headers(), &header::CONTENT_TYPE).ok().flatten().map(str::to_owned);
         let target = request.uri().path_and_query().map_or("/api", |target| target.as_str());
         let job = Job {
             target: target.to_owned(),
@@ -85,14 +87,14 @@
         };
         let key = self.runtime.key_of(head.class, &job);
         let (ticket, answer) = self.runtime.ticket(head.class);
-        // Dropped with this future when the connection closes before the answer.
+        // Dropped with this future when the connection closes before the answer, which reports the client gone.
         let _here = Here::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(Arrival {
             ticket,
             id: head.id.into(),
             class: head.class,
             tenant: head.tenant,
-            deadline: arrived + head.patience,
+            deadline: arrived + head.timeout,
             slots: head.slots,
             memory: head.memory,
             estimate: head.estimate,
@@ -115,27 +117,29 @@
         }
     }
 
-    /// Counts a job turned away before it was handed in as errored for the class it names, known or not:
-    /// operators count a class that clients send before this process knows it. Off the path of the jobs
-    /// that are handed in, which the runtime counts.
-    fn turned_away(&self, request: &Request) {
-        let named = text(request.headers(), &HeaderName::from_static("x-priority-class")).ok().flatten();
-        if let Some(class) = named.and_then(|name| self.runtime.figures.class_if_room(name)) {
+    /// Counts a job rejected before it reached the core as errored for the class it names, even if the class
+    /// is unknown: operators count a class that clients send before this process knows it. Jobs that reach
+    /// the core are counted by the runtime.
+    fn count_rejected(&self, request: &Request) {
+        let class_name =
+            header_text(request.headers(), &HeaderName::from_static("x-priority-class")).ok().flatten();
+        if let Some(class) = class_name.and_then(|name| self.runtime.figures.class_if_room(name)) {
             class.count(Counted::Errored);
         }
     }
 
     async fn read_body(&self, request: &mut Request) -> Result<Bytes, Reply> {
         let limits = &self.runtime.limits;
-        let told = text(request.headers(), &header::CONTENT_LENGTH).ok().flatten();
-        if told.and_then(|length| length.parse::<usize>().ok()).is_some_and(|length| length > limits.body) {
+        let declared = header_text(request.headers(), &header::CONTENT_LENGTH).ok().flatten();
+        if declared.and_then(|length| length.parse::<usize>().ok()).is_some_and(|length| length > limits.body)
+        {
             return Err(Reply::too_large());
         }
         let mut payload = request.take_payload();
         let reading = async {
             let mut body = BytesMut::new();
             while let Some(chunk) = payload.next().await {
-                let chunk = chunk.map_err(|e| Reply::bad(format!("body: {e}")))?;
+                let chunk = chunk.map_err(|e| Reply::bad_request(format!("body: {e}")))?;
                 if body.len() + chunk.len() > limits.body {
                     return Err(Reply::too_large());
                 }
@@ -143,49 +147,52 @@
             }
             Ok(body.freeze())
         };
-        let late = Reply { close: true, ..Reply::new(StatusCode::REQUEST_TIMEOUT, "body: too slow") };
-        tokio::time::timeout(limits.body_wait, reading).await.unwrap_or(Err(late))
+        let too_slow = Reply { close: true, ..Reply::new(StatusCode::REQUEST_TIMEOUT, "body: too slow") };
+        tokio::time::timeout(limits.body_wait, reading).await.unwrap_or(Err(too_slow))
     }
 
-    /// A runner tells what became of a job. Whatever it is about, it hears at once that it arrived.
-    async fn call_back(&self, request: &mut Request) -> Reply {
+    /// Handles a runner's call-back, which is acknowledged whether or not its job is known.
+    async fn handle_call_back(&self, request: &mut Request) -> Reply {
         let body = match self.read_body(request).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
-        let told: CallBack = match serde_json::from_slice(&body) {
-            Ok(told) => told,
+        let call_back: CallBack = match serde_json::from_slice(&body) {
+            Ok(call_back) => call_back,
             Err(e) => {
                 log::warn!("call-back that can't be read: {e}");
-                return Reply::bad(format!("body: {e}"));
+                return Reply::bad_request(format!("body: {e}"));
             }
         };
         log::trace!("call-back {}", String::from_utf8_lossy(&body));
-        let known = self.runtime.knows(&told.id);
+        let known = self.runtime.knows(&call_back.id);
         let peers = self.peers.borrow().clone().filter(|_| !known);
         if let Some(peers) = peers {
-            // On one line, as the door takes it: in JSON a line's end is white space only, never in a text.
+            // The admin socket takes one line. In JSON a line break is only white space, never within a string.
             let line = String::from_utf8_lossy(&body).replace(['\r', '\n'], " ");
             return match peers.forward(&line).await {
                 Forwarded::Accepted | Forwarded::NoOwner => Reply::new(StatusCode::OK, ""),
                 Forwarded::Unreachable => {
-                    log::warn!(id = told.id.as_str(); "call-back not handed on: the other process is silent");
+                    log::warn!(
+                        id = call_back.id.as_str();
+                        "call-back not handed on: the other process is silent"
+                    );
                     Reply::new(StatusCode::SERVICE_UNAVAILABLE, "not handed on: tell it again")
                 }
             };
         }
-        callbacks::apply(&self.runtime, told);
+        callbacks::apply(&self.runtime, call_back);
         Reply::new(StatusCode::OK, "")
     }
 }
 
-/// How long a request's body is; `None` where its own framing ends it.
-fn length(request: &Request) -> Option<usize> {
+/// Returns the length of a request's body; `None` where the body's own framing ends it.
+fn body_length(request: &Request) -> Option<usize> {
     let headers = request.headers();
     let framed = headers.contains_key(header::TRANSFER_ENCODING) || headers.contains_key(header::UPGRADE);
     if framed || request.method() == Method::CONNECT {
         return None;
     }
-    let told = text(headers, &header::CONTENT_LENGTH).ok().flatten();
-    Some(told.and_then(|told| told.parse().ok()).unwrap_or(0))
+    let declared = header_text(headers, &header::CONTENT_LENGTH).ok().flatten();
+    Some(declared.and_then(|length| length.parse().ok()).unwrap_or(0))
 }
--- a/node/src/net/platform/shutdown.rs
+++ b/node/src/net/platform/shutdown.rs
@@ -1,78 +1,81 @@
-//! The program's end, from the word on: for how long clients find everything as usual, when they are let
-//! go, and when nothing that was read, or could still be, is left to answer. It must never read or close
-//! anything, nor ask what time it is.
+//! State machine of a graceful shutdown: how long clients are served as usual, when their connections are
+//! closed, and when nothing that was read, or could still be, is left to answer. Contains no I/O and no clock.
 
 use std::time::Duration;
 
-/// What the program does on its way to its end.
+/// The phases of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// New connections still come, and clients use those they have.
+    /// New connections are accepted, and clients use those they have.
     Serving,
-    /// Whoever rests is let go, and each answer is its connection's last.
+    /// Idle connections close, and each response is its connection's last.
     Draining,
-    /// Nothing is under way: is there anybody who connected and was not accepted?
+    /// Nothing is active; connections still queued on the listener are accepted.
     FinalAccept,
-    /// Nobody is accepted any more, and what is left of the connections ends.
+    /// Nothing is accepted any more, and the remaining connections close.
     Closing,
-    /// Nothing is left.
+    /// No connection is left.
     Done,
 }
 
-/// What there is to see, so long after the word.
+/// What the process observes at a step of the shutdown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Observation {
+    /// Time since the shutdown began.
     pub elapsed: Duration,
-    /// Requests taken and not answered, and connections with something being read or written.
+    /// Unanswered requests, and connections on which something is being read or written.
     pub active: usize,
-    /// Connections that were accepted at the last look.
+    /// Connections accepted by the last final accept.
     pub accepted: usize,
-    /// Connections that are not closed.
+    /// Open connections.
     pub connections: usize,
 }
 
-/// The way to the end.
+/// A graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    spell: Duration,
-    /// When nothing is waited for any more.
-    most: Duration,
+    /// Time for which everything is served as usual.
+    grace: Duration,
+    /// When requests and queued connections are no longer waited for.
+    deadline: Duration,
     /// Time for the last connections to close.
     flush: Duration,
     phase: Phase,
-    closing: Duration,
+    closing_since: Duration,
 }
 
 impl Shutdown {
-    /// Everything as usual for the spell, whatever is unanswered answered at `stop`, and `flush` for what
-    /// was answered last to go out, and once more for it to arrive.
-    pub fn new(spell: Duration, stop: Duration, flush: Duration) -> Shutdown {
-        let (phase, closing) = (Phase::Serving, Duration::ZERO);
-        Shutdown { spell, most: stop + flush, flush, phase, closing }
+    /// Begins a shutdown that serves as usual for `grace`. At `stop` whatever is unanswered is answered;
+    /// `flush` is the time for the last responses to be written, and once more for them to arrive.
+    pub fn new(grace: Duration, stop: Duration, flush: Duration) -> Shutdown {
+        let (phase, closing_since) = (Phase::Serving, Duration::ZERO);
+        Shutdown { grace, deadline: stop + flush, flush, phase, closing_since }
     }
 
-    /// What is done now.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Until when there is nothing to look for.
+    /// Returns the elapsed time before which a step changes nothing.
     pub fn next_check(&self) -> Duration {
-        if self.phase == Phase::Serving { self.spell } else { Duration::ZERO }
+        if self.phase == Phase::Serving { self.grace } else { Duration::ZERO }
     }
 
-    /// What is to be done, by what there is to see.
-    pub fn step(&mut self, seen: &Observation) -> Phase {
-        let late = seen.elapsed >= self.most;
+    /// Advances the shutdown by what is observed, and returns the new phase.
+    pub fn step(&mut self, observed: &Observation) -> Phase {
+        let overdue = observed.elapsed >= self.deadline;
         self.phase = match self.phase {
-            Phase::Serving if seen.elapsed >= self.spell => Phase::Draining,
-            Phase::Draining if late || seen.active == 0 => Phase::FinalAccept,
-            Phase::FinalAccept if seen.accepted > 0 && !late => Phase::Draining,
+            Phase::Serving if observed.elapsed >= self.grace => Phase::Draining,
+            Phase::Draining if overdue || observed.active == 0 => Phase::FinalAccept,
+            Phase::FinalAccept if observed.accepted > 0 && !overdue => Phase::Draining,
             Phase::FinalAccept => {
-                self.closing = seen.elapsed;
+                self.closing_since = observed.elapsed;
                 Phase::Closing
             }
-            Phase::Closing if seen.connections == 0 || seen.elapsed >= self.closing + self.flush => {
+            Phase::Closing
+                if observed.connections == 0 || observed.elapsed >= self.closing_since + self.flush =>
+            {
                 Phase::Done
             }
             phase => phase,
