--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -3,7 +3,7 @@
 //! tell the publisher anything but that it listens.
 
 use crate::core::Input;
-use crate::net::runners::Pool;
+use crate::net::runners::ConnectionPool;
 use crate::operator;
 use crate::runtime::{Digests, Runtime};
 use awc::Client;
@@ -32,7 +32,7 @@
 impl DigestSubscriber {
     /// Follows the digest that the operator's file names, until the program ends.
     pub fn start(runtime: &Rc<Runtime>, section: &operator::Digest) {
-        let pool = Pool::new(&runtime.limits);
+        let pool = ConnectionPool::new(&runtime.limits);
         let digest = Rc::new(DigestSubscriber {
             runtime: Rc::downgrade(runtime),
             client: pool.client(&runtime.limits),
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use crate::net::hosts::Hosts;
 use crate::net::json_stream::JsonStream;
 use crate::net::loss::{Due, Loss, Lost};
-use crate::net::runners::{Pool, RunnerLink};
+use crate::net::runners::{ConnectionPool, RunnerLink};
 use crate::runtime::{Roster, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
@@ -42,7 +42,7 @@
 
 impl DiscoveryClient {
     pub fn new(runtime: &Rc<Runtime>, runners: &Rc<RunnerLink>) -> Rc<DiscoveryClient> {
-        let pool = Pool::new(&runtime.limits);
+        let pool = ConnectionPool::new(&runtime.limits);
         Rc::new_cyclic(|this| DiscoveryClient {
             runtime: Rc::downgrade(runtime),
             runners: runners.clone(),
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -1,22 +1,21 @@
-//! The link to the platform's runners: attempts, the giving up of attempts and probes. It owns what is
-//! on the wire for each attempt, and says of each once how it ended. It must never send one again by
-//! itself, have two attempts of a request at one runner, or call an attempt unsent whose last byte was
-//! written.
+//! The link to the platform's runners over HTTP: attempts, their cancellation and probes. Reports the end of
+//! each attempt once. Never sends an attempt again by itself, never has two attempts of a request at one runner,
+//! and never reports an attempt as unsent whose last byte was written.
 
 mod attempt;
 mod pool;
 mod report;
 
-pub use pool::Pool;
+pub use pool::ConnectionPool;
 pub use report::{load_object, result_bytes};
 
 use crate::core::{AttemptId, Ending, Input};
 use crate::runtime::{Job, Link, Runtime};
-use attempt::Answered;
+use attempt::AttemptResult;
 use awc::Client;
 use awc::http::{StatusCode, header::HeaderMap};
 use bytes::Bytes;
-use pool::{LEAVE, Leave};
+use pool::{SEND_PERMIT, SendPermit};
 use report::{load_body, load_text};
 use sablerun as sr;
 use std::cell::{Cell, RefCell};
@@ -29,44 +28,44 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// How often a runner is told that a job is given up, if it does not answer.
-const TELLINGS: usize = 3;
+/// How often a runner that does not answer is asked to cancel a job.
+const MAX_CANCEL_TRIES: usize = 3;
 
-/// An attempt that is out.
-struct Out {
+/// An attempt in progress.
+struct OpenAttempt {
     id: Rc<str>,
     runner: String,
-    /// The runner has answered 202: giving up takes a call of its own.
-    taken: Rc<Cell<bool>>,
-    leave: Rc<Leave>,
+    /// The runner has answered 202, so that a cancellation takes a request of its own.
+    accepted: Rc<Cell<bool>>,
+    permit: Rc<SendPermit>,
     task: AbortHandle,
 }
 
 /// A job, by its id, at a runner, by its name.
 type JobAt = (Rc<str>, String);
 
-/// The link.
+/// The link to the platform's runners.
 pub struct RunnerLink {
     runtime: Weak<Runtime>,
     client: Client,
-    pool: Pool,
+    pool: ConnectionPool,
     addresses: RefCell<HashMap<String, SocketAddr>>,
-    out: RefCell<HashMap<AttemptId, Out>>,
-    /// Jobs being given up, by id and runner: a further attempt there waits for the end of that.
-    given_up: RefCell<HashMap<JobAt, Rc<Notify>>>,
+    attempts: RefCell<HashMap<AttemptId, OpenAttempt>>,
+    /// Jobs being cancelled, by id and runner: the next attempt of the job there waits for the notification.
+    cancellations: RefCell<HashMap<JobAt, Rc<Notify>>>,
     this: Weak<RunnerLink>,
 }
 
 impl RunnerLink {
     pub fn new(runtime: &Rc<Runtime>) -> Rc<RunnerLink> {
-        let pool = Pool::new(&runtime.limits);
+        let pool = ConnectionPool::new(&runtime.limits);
         let client = pool.client(&runtime.limits);
-        let sweep = pool.clone();
-        let pause = runtime.limits.sweep;
+        let swept = pool.clone();
+        let interval = runtime.limits.sweep;
         actix_rt::spawn(async move {
             loop {
-                tokio::time::sleep(pause).await;
-                sweep.close_idle(sweep.idle, |_| true);
+                tokio::time::sleep(interval).await;
+                swept.close_idle(swept.idle_timeout, |_| true);
             }
         });
         Rc::new_cyclic(|this| RunnerLink {
@@ -74,22 +73,22 @@
             client,
             pool,
             addresses: RefCell::default(),
-            out: RefCell::default(),
-            given_up: RefCell::default(),
+            attempts: RefCell::default(),
+            cancellations: RefCell::default(),
             this: this.clone(),
         })
     }
 
-    /// Connections to runners, in use or idle.
+    /// Returns the number of connections to runners, in use or idle.
     pub fn connections(&self) -> usize {
         self.pool.count()
     }
 
-    /// Notes where a runner listens.
-    pub fn set_address(&self, runner: &str, at: SocketAddr) {
-        let before = self.addresses.borrow_mut().insert(runner.to_owned(), at);
-        if let Some(before) = before.filter(|before| *before != at) {
-            self.pool.close_idle(Duration::ZERO, |address| address == before);
+    /// Sets the address of a runner, and closes idle connections to an earlier one.
+    pub fn set_address(&self, runner: &str, address: SocketAddr) {
+        let previous = self.addresses.borrow_mut().insert(runner.to_owned(), address);
+        if let Some(previous) = previous.filter(|previous| *previous != address) {
+            self.pool.close_idle(Duration::ZERO, |address| address == previous);
         }
     }
 
@@ -98,53 +97,56 @@
         self.runtime.upgrade()?.with_tables(|tables| load_text(tables, text))
     }
 
-    async fn probed(&self, at: SocketAddr) -> Option<Option<sr::Report>> {
-        let request = self.client.get(format!("http://{at}/metrics/load")).address(at).no_decompress();
+    /// Probes the runner at an address: None without a valid response, else the load report in it, if any.
+    async fn fetch_load(&self, address: SocketAddr) -> Option<Option<sr::Report>> {
+        let url = format!("http://{address}/metrics/load");
+        let request = self.client.get(url).address(address).no_decompress();
         let mut response = request.send().await.ok()?;
-        let head = self.header_report(response.headers());
+        let header_report = self.header_report(response.headers());
         let runtime = self.runtime.upgrade()?;
         let body = response.body().limit(runtime.limits.body).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
-        log::trace!("probe at {at}: {}", String::from_utf8_lossy(&body));
-        Some(head.or_else(|| runtime.with_tables(|tables| load_body(tables, &body))))
+        log::trace!("probe at {address}: {}", String::from_utf8_lossy(&body));
+        Some(header_report.or_else(|| runtime.with_tables(|tables| load_body(tables, &body))))
     }
 
-    /// Lets a runner know that a job is given up, and those who wait for it that it does. Before the 202 the
-    /// end of the connection says it; but that means nothing to a runner whose 202 is on its way, so the
-    /// connection is `unheard` to its end, and what comes calls for a call.
-    fn withdraw(&self, id: Rc<str>, runner: String, unheard: Option<TcpStream>) {
-        let Some(&at) = self.addresses.borrow().get(&runner) else { return };
+    /// Cancels a job at its runner, and notifies attempts that wait for that. Before the 202, closing the
+    /// connection cancels the job; but a runner whose 202 is already in transit ignores that. So the
+    /// connection without a response is read until its end, and if anything arrives the job is cancelled by
+    /// a request.
+    fn cancel_job(&self, id: Rc<str>, runner: String, without_response: Option<TcpStream>) {
+        let Some(&address) = self.addresses.borrow().get(&runner) else { return };
         let (Some(this), Some(runtime)) = (self.this.upgrade(), self.runtime.upgrade()) else { return };
         let key = (id, runner);
         let done = Rc::new(Notify::new());
-        self.given_up.borrow_mut().insert(key.clone(), done.clone());
-        let unheard = unheard.map(|connection| self.pool.adopt(connection, at));
+        self.cancellations.borrow_mut().insert(key.clone(), done.clone());
+        let without_response = without_response.map(|connection| self.pool.adopt(connection, address));
         actix_rt::spawn(async move {
-            let url = format!("http://{at}/jobs/{}", key.0);
-            let call = async {
-                if let Some(mut connection) = unheard {
+            let url = format!("http://{address}/jobs/{}", key.0);
+            let cancellation = async {
+                if let Some(mut connection) = without_response {
                     let _ = connection.shutdown().await;
                     if !matches!(connection.read(&mut [0; 64]).await, Ok(1..)) {
                         return Some(Bytes::new());
                     }
                 }
-                let mut told = None;
-                // A connection that its runner has just closed eats the call: another one may not.
-                for _ in 0..TELLINGS {
-                    let call = this.client.delete(&url).address(at).no_decompress();
-                    if let Ok(mut response) = call.send().await {
-                        told = response.body().limit(runtime.limits.body).await.ok();
+                let mut confirmation = None;
+                // A request on a connection that the runner has just closed is lost: try another one.
+                for _ in 0..MAX_CANCEL_TRIES {
+                    let request = this.client.delete(&url).address(address).no_decompress();
+                    if let Ok(mut response) = request.send().await {
+                        confirmation = response.body().limit(runtime.limits.body).await.ok();
                         break;
                     }
                 }
-                told
+                confirmation
             };
-            if !matches!(tokio::time::timeout(runtime.limits.give_up, call).await, Ok(Some(_))) {
+            if !matches!(tokio::time::timeout(runtime.limits.give_up, cancellation).await, Ok(Some(_))) {
                 log::debug!("runner {} did not confirm that it gives {} up", key.1, key.0);
             }
-            this.given_up.borrow_mut().remove(&key);
+            this.cancellations.borrow_mut().remove(&key);
             done.notify_waiters();
         });
     }
@@ -157,72 +159,75 @@
 
     fn start(&self, attempt: AttemptId, id: Rc<str>, runner: &str, job: Rc<Job>, deadline: sr::Time) {
         let (Some(this), Some(runtime)) = (self.this.upgrade(), self.runtime.upgrade()) else { return };
-        let Some(&at) = self.addresses.borrow().get(runner) else { return };
-        let asks = Rc::downgrade(&runtime);
-        let leave = Leave::new(move || asks.upgrade().is_some_and(|runtime| runtime.may_begin(attempt)));
-        let taken = Rc::new(Cell::new(false));
-        let (key, own, took) = ((id.clone(), runner.to_owned()), leave.clone(), taken.clone());
-        let task = actix_rt::spawn(LEAVE.scope(leave.clone(), async move {
+        let Some(&address) = self.addresses.borrow().get(runner) else { return };
+        let asked = Rc::downgrade(&runtime);
+        let permit =
+            SendPermit::new(move || asked.upgrade().is_some_and(|runtime| runtime.may_begin(attempt)));
+        let accepted = Rc::new(Cell::new(false));
+        let key = (id.clone(), runner.to_owned());
+        let (task_permit, task_accepted) = (permit.clone(), accepted.clone());
+        let task = actix_rt::spawn(SEND_PERMIT.scope(permit.clone(), async move {
             loop {
-                let giving_up = this.given_up.borrow().get(&key).cloned();
-                let Some(giving_up) = giving_up else { break };
-                giving_up.notified().await;
+                let cancellation = this.cancellations.borrow().get(&key).cloned();
+                let Some(cancellation) = cancellation else { break };
+                cancellation.notified().await;
             }
-            let wait = Duration::from_nanos((deadline - runtime.clock.now()).0);
-            let answered = this.attempt(at, &key.0, &job, wait, &own).await;
-            // Written whole unless it never got that far.
+            let time_left = Duration::from_nanos((deadline - runtime.clock.now()).0);
+            let result = this.send_attempt(address, &key.0, &job, time_left, &task_permit).await;
+            // With any other outcome the request was written whole, or may have been.
             let unsent = [sr::Outcome::ConnectFailed, sr::Outcome::Moot];
-            if !matches!(&answered, Answered::Ended(e) if unsent.contains(&e.outcome)) {
+            if !matches!(&result, AttemptResult::Ended(e) if unsent.contains(&e.outcome)) {
                 crate::figures::Figures::add(&runtime.figures.sends);
             }
-            match answered {
-                Answered::Taken => {
+            match result {
+                AttemptResult::Accepted => {
                     log::debug!("runner {} took {}", key.1, key.0);
-                    took.set(true);
+                    task_accepted.set(true);
                 }
-                Answered::Unusable => runtime.feed(Input::Unusable(attempt)),
-                Answered::Ended(ending) => runtime.feed(Input::Ended(attempt, ending)),
-                Answered::Garbled => {
-                    this.withdraw(key.0, key.1, None);
+                AttemptResult::Unusable => runtime.feed(Input::Unusable(attempt)),
+                AttemptResult::Ended(ending) => runtime.feed(Input::Ended(attempt, ending)),
+                AttemptResult::Unreadable => {
+                    this.cancel_job(key.0, key.1, None);
                     runtime.feed(Input::Ended(attempt, Ending::bare(sr::Outcome::Reset)));
                 }
             }
         }));
-        let out = Out { id, runner: runner.to_owned(), taken, leave, task: task.abort_handle() };
-        self.out.borrow_mut().insert(attempt, out);
+        let open = OpenAttempt { id, runner: runner.to_owned(), accepted, permit, task: task.abort_handle() };
+        self.attempts.borrow_mut().insert(attempt, open);
     }
 
     fn give_up(&self, attempt: AttemptId) {
-        let Some(out) = self.out.borrow_mut().remove(&attempt) else { return };
-        if out.taken.get() {
-            self.withdraw(out.id, out.runner, None);
+        let Some(open) = self.attempts.borrow_mut().remove(&attempt) else { return };
+        if open.accepted.get() {
+            self.cancel_job(open.id, open.runner, None);
         } else {
-            let unheard = out.leave.take();
-            out.task.abort();
-            if unheard.is_some() {
-                self.withdraw(out.id, out.runner, unheard);
+            let without_response = open.permit.take_connection();
+            open.task.abort();
+            if without_response.is_some() {
+                self.cancel_job(open.id, open.runner, without_response);
             }
         }
     }
 
     fn over(&self, attempt: AttemptId) {
-        // A call-back may come before the 202: the task that reads it ends by itself.
-        self.out.borrow_mut().remove(&attempt);
+        // A call-back may arrive before the 202: the task that reads the 202 ends by itself.
+        self.attempts.borrow_mut().remove(&attempt);
     }
 
     fn probe(&self, runner: &str) {
         let (Some(this), Some(runtime)) = (self.this.upgrade(), self.runtime.upgrade()) else { return };
-        let Some(&at) = self.addresses.borrow().get(runner) else { return };
+        let Some(&address) = self.addresses.borrow().get(runner) else { return };
         let runner = runner.to_owned();
         actix_rt::spawn(async move {
-            let probed = tokio::time::timeout(runtime.limits.probe, this.probed(at)).await.ok().flatten();
-            runtime.feed(Input::Probed { runner, ok: probed.is_some(), report: probed.flatten() });
+            let fetched = tokio::time::timeout(runtime.limits.probe, this.fetch_load(address)).await;
+            let load = fetched.ok().flatten();
+            runtime.feed(Input::Probed { runner, ok: load.is_some(), report: load.flatten() });
         });
     }
 
     fn release(&self, runner: &str) {
-        if let Some(&at) = self.addresses.borrow().get(runner) {
-            self.pool.close_idle(Duration::ZERO, |address| address == at);
+        if let Some(&runner_address) = self.addresses.borrow().get(runner) {
+            self.pool.close_idle(Duration::ZERO, |address| address == runner_address);
         }
     }
 }
--- a/node/src/net/runners/attempt.rs
+++ b/node/src/net/runners/attempt.rs
@@ -1,9 +1,8 @@
-//! One attempt on the wire: the request as a runner gets it, and what its answer or the end of the
-//! connection means. It owns those two. It must never send a request a second time, nor take for unsent
-//! what may have been written whole.
+//! One attempt over HTTP: the request as a runner gets it, and what its response or the end of the connection
+//! means. Never sends a request twice, and never reports one as unsent that may have been written whole.
 
 use super::RunnerLink;
-use super::pool::Leave;
+use super::pool::SendPermit;
 use crate::core::Ending;
 use crate::runtime::Job;
 use actix_http::error::ParseError;
@@ -14,33 +13,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a runner says to an attempt.
-pub enum Answered {
-    Taken,
+/// The result of sending an attempt to a runner.
+pub enum AttemptResult {
+    /// The runner accepted the job with a 202.
+    Accepted,
     /// The request itself is at fault.
     Unusable,
     Ended(Ending),
-    /// Nothing that makes sense: the runner may well have it.
-    Garbled,
+    /// The response makes no sense: the runner may have the job.
+    Unreadable,
 }
 
 impl RunnerLink {
-    /// Makes one attempt: what the runner answers, if only that it has taken it.
-    pub async fn attempt(
+    /// Sends one attempt and returns its result, which may only be that the runner accepted the job.
+    pub async fn send_attempt(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         id: &str,
         job: &Job,
-        wait: Duration,
-        leave: &Leave,
-    ) -> Answered {
+        time_left: Duration,
+        permit: &SendPermit,
+    ) -> AttemptResult {
         let mut request = self
             .client
-            .post(format!("http://{at}{}", job.target))
-            .address(at)
+            .post(format!("http://{address}{}", job.target))
+            .address(address)
             .no_decompress()
             .insert_header(("X-Request-ID", id))
-            .insert_header(("X-Timeout", format!("{}m", wait.as_millis())))
+            .insert_header(("X-Timeout", format!("{}m", time_left.as_millis())))
             .insert_header(("X-Priority-Class", job.class.as_str()));
         if let Some(tenant) = &job.tenant {
             request = request.insert_header(("X-Tenant-Id", tenant.as_str()));
@@ -48,70 +48,70 @@
         if let Some(key) = &job.key {
             request = request.insert_header(("Idempotency-Key", key.as_str()));
         }
-        if let Some(kind) = &job.content_type {
-            request = request.insert_header(("Content-Type", kind.as_str()));
+        if let Some(content_type) = &job.content_type {
+            request = request.insert_header(("Content-Type", content_type.as_str()));
         }
         let mut response = match request.send_body(job.body.clone()).await {
             Ok(response) => response,
             Err(e) => {
-                log::debug!("attempt {id} at {at}: {e}");
-                return match leave.refused() {
-                    true => Answered::Ended(Ending::bare(sr::Outcome::Moot)),
-                    false => unanswered(&e),
+                log::debug!("attempt {id} at {address}: {e}");
+                return match permit.denied() {
+                    true => AttemptResult::Ended(Ending::bare(sr::Outcome::Moot)),
+                    false => result_of_error(&e),
                 };
             }
         };
         if response.status() != StatusCode::ACCEPTED {
-            // It ends the attempt, and the same answer may come twice: the second, read as the answer to the
-            // next request on this connection, would end that too while its runner has it.
-            drop(leave.take());
+            // This response ends the attempt. A runner may send it twice, and the second copy, read as the
+            // response to the next request on this connection, would end that one while its runner has it.
+            drop(permit.take_connection());
         }
         let (status, report) = (response.status(), self.header_report(response.headers()));
-        let turned_away = response.headers().get("X-Not-Processed").is_some_and(|v| v.as_bytes() == b"1");
-        let ended = |outcome| Answered::Ended(Ending { outcome, result: Bytes::new(), report });
-        let answered = match status {
-            StatusCode::ACCEPTED => Answered::Taken,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
+        let not_processed = response.headers().get("X-Not-Processed").is_some_and(|v| v.as_bytes() == b"1");
+        let ended = |outcome| AttemptResult::Ended(Ending { outcome, result: Bytes::new(), report });
+        let result = match status {
+            StatusCode::ACCEPTED => AttemptResult::Accepted,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
                 ended(sr::Outcome::Full)
             }
             StatusCode::BAD_REQUEST => {
-                log::info!("runner at {at} can't use request {id}");
-                Answered::Unusable
+                log::info!("runner at {address} can't use request {id}");
+                AttemptResult::Unusable
             }
             StatusCode::INTERNAL_SERVER_ERROR
             | StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::GATEWAY_TIMEOUT => ended(sr::Outcome::Error),
-            // Perhaps the answer to a call before, twice.
+            // Perhaps a second copy of the response to an earlier request.
             other => {
-                log::warn!("runner at {at} answered {other} to attempt {id}: no answer at all");
-                Answered::Garbled
+                log::warn!("runner at {address} answered {other} to attempt {id}: not a valid answer");
+                AttemptResult::Unreadable
             }
         };
-        // What a body holds is of no use, but unread it would cost the connection.
+        // The body is not used, but a connection with an unread body can't be reused.
         if let Some(runtime) = self.runtime.upgrade() {
-            let (wait, most) = (runtime.limits.give_up, runtime.limits.body);
+            let (timeout, max_bytes) = (runtime.limits.give_up, runtime.limits.body);
             actix_rt::spawn(async move {
-                let _ = tokio::time::timeout(wait, response.body().limit(most)).await;
+                let _ = tokio::time::timeout(timeout, response.body().limit(max_bytes)).await;
             });
         }
-        answered
+        result
     }
 }
 
-/// What an attempt without an answer comes to. Only what failed before the request's last byte was written
-/// proves that it never ran. Guards against awc's word for a connection that ended while the answer was
-/// awaited: it is a `Connect` error too. An answer that can't be read says nothing of the job, which its
-/// runner may hold for as long as nobody gives it up.
-fn unanswered(error: &SendRequestError) -> Answered {
+/// Returns the result of an attempt without a response. Only a failure before the request's last byte was
+/// written proves that the job never ran. awc reports a connection that closed while the response was awaited
+/// as a `Connect` error too, which is told apart here. An unreadable response says nothing of the job, which
+/// the runner may hold until it is cancelled.
+fn result_of_error(error: &SendRequestError) -> AttemptResult {
     let outcome = match error {
         SendRequestError::Connect(ConnectError::Disconnected) => sr::Outcome::Reset,
         SendRequestError::Connect(_) | SendRequestError::Send(_) | SendRequestError::Url(_) => {
             sr::Outcome::ConnectFailed
         }
         SendRequestError::Response(error) if !matches!(error, ParseError::Io(_)) => {
-            return Answered::Garbled;
+            return AttemptResult::Unreadable;
         }
         _ => sr::Outcome::Reset,
     };
-    Answered::Ended(Ending::bare(outcome))
+    AttemptResult::Ended(Ending::bare(outcome))
 }
--- a/node/src/net/runners/pool.rs
+++ b/node/src/net/runners/pool.rs
@@ -1,6 +1,5 @@
-//! The pool of connections to runners. It owns every connection, from its opening within the limit to its
-//! close, and knows which are idle. It must never read or write anything by itself, nor close a connection on
-//! which an answer is awaited.
+//! The pool of connections to runners. Opens connections within the limit and closes idle ones; never one
+//! on which a response is awaited.
 
 use crate::limits::Limits;
 use actix_codec::{AsyncRead, AsyncWrite, ReadBuf};
@@ -18,68 +17,75 @@
 use std::time::{Duration, Instant};
 
 tokio::task_local! {
-    /// The leave of the attempt that the task makes; other requests need none.
-    pub static LEAVE: Rc<Leave>;
+    /// The send permit of the attempt that the task makes; other requests need none.
+    pub static SEND_PERMIT: Rc<SendPermit>;
 }
 
-/// An attempt's leave to begin. The first byte of a request may be long in coming, by a connection that comes
-/// up late or a give-up that its runner has to confirm first: whether it may go out is asked in that moment.
-pub struct Leave {
+/// Decides whether an attempt may still be sent, at the moment of its first byte. That may come long after the
+/// attempt was started: the connection may be slow to open, or the runner may have to confirm a cancellation
+/// of the same job first.
+pub struct SendPermit {
     granted: Box<dyn Fn() -> bool>,
-    refused: Cell<bool>,
-    /// The connection on which the attempt has begun.
-    wire: RefCell<Option<Weak<Wire>>>,
+    denied: Cell<bool>,
+    /// The connection on which the attempt is sent, once it has begun.
+    connection: RefCell<Option<Weak<PooledConnection>>>,
 }
 
-impl Leave {
-    pub fn new(granted: impl Fn() -> bool + 'static) -> Rc<Leave> {
-        Rc::new(Leave { granted: Box::new(granted), refused: Cell::default(), wire: RefCell::default() })
+impl SendPermit {
+    pub fn new(granted: impl Fn() -> bool + 'static) -> Rc<SendPermit> {
+        Rc::new(SendPermit {
+            granted: Box::new(granted),
+            denied: Cell::default(),
+            connection: RefCell::default(),
+        })
     }
 
-    fn begin(&self, on: &Rc<Wire>) -> bool {
-        let begins = self.wire.borrow().is_some() || (self.granted)();
+    /// Returns whether the attempt may write to this connection.
+    fn begin(&self, connection: &Rc<PooledConnection>) -> bool {
+        let begins = self.connection.borrow().is_some() || (self.granted)();
         if begins {
-            self.wire.borrow_mut().get_or_insert_with(|| Rc::downgrade(on));
+            self.connection.borrow_mut().get_or_insert_with(|| Rc::downgrade(connection));
         }
-        self.refused.set(!begins);
+        self.denied.set(!begins);
         begins
     }
 
-    /// Whether the attempt came to its connection and was not let on it: its runner is not to blame.
-    pub fn refused(&self) -> bool {
-        self.refused.get()
+    /// Whether the attempt had a connection but was not allowed to write, which is no fault of its runner.
+    pub fn denied(&self) -> bool {
+        self.denied.get()
     }
 
-    /// Takes the connection on which the attempt went out away from the pool: nothing that comes over it will
-    /// be taken for the answer to another request. None if the attempt has not begun.
-    pub fn take(&self) -> Option<TcpStream> {
-        self.wire.borrow().as_ref().and_then(Weak::upgrade)?.stream.take()
+    /// Takes the attempt's connection away from the pool, so that nothing that arrives on it can be read as the
+    /// response to another request. None if the attempt has not begun.
+    pub fn take_connection(&self) -> Option<TcpStream> {
+        self.connection.borrow().as_ref().and_then(Weak::upgrade)?.stream.take()
     }
 }
 
-/// What is behind one pooled connection.
-struct Wire {
+/// The state of one pooled connection.
+struct PooledConnection {
     stream: RefCell<Option<TcpStream>>,
-    at: SocketAddr,
+    address: SocketAddr,
     /// Something was written and nothing has been read since.
-    awaiting: Cell<bool>,
-    touched: Cell<Instant>,
+    awaiting_response: Cell<bool>,
+    last_activity: Cell<Instant>,
 }
 
-/// A connection as awc holds it. awc drops idle ones only when it next wants one to the same place,
-/// so the pool can close what is below: awc reads the end of the stream then, and drops its part.
+/// A connection as awc holds it. awc drops idle connections only when it next wants one to the same address,
+/// so the pool closes the stream underneath; awc then reads the end of the stream and drops its part.
 #[derive(Clone)]
-pub struct Io(Rc<Wire>);
+pub struct PooledStream(Rc<PooledConnection>);
 
-impl std::fmt::Debug for Io {
+impl std::fmt::Debug for PooledStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "connection to {}", self.0.at)
+        write!(f, "connection to {}", self.0.address)
     }
 }
 
-impl Io {
-    fn with<T>(&self, closed: T, poll: impl FnOnce(Pin<&mut TcpStream>) -> Poll<T>) -> Poll<T> {
-        self.0.touched.set(Instant::now());
+impl PooledStream {
+    /// Polls the stream, or returns `closed` if the pool has closed it.
+    fn poll_open<T>(&self, closed: T, poll: impl FnOnce(Pin<&mut TcpStream>) -> Poll<T>) -> Poll<T> {
+        self.0.last_activity.set(Instant::now());
         match self.0.stream.borrow_mut().as_mut() {
             Some(stream) => poll(Pin::new(stream)),
             None => Poll::Ready(closed),
@@ -91,61 +97,65 @@
     io::ErrorKind::BrokenPipe.into()
 }
 
-impl AsyncRead for Io {
+impl AsyncRead for PooledStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let polled = self.with(Ok(()), |stream| stream.poll_read(cx, buf));
+        let polled = self.poll_open(Ok(()), |stream| stream.poll_read(cx, buf));
         if buf.filled().len() > before {
-            self.0.awaiting.set(false);
+            self.0.awaiting_response.set(false);
         }
         polled
     }
 }
 
-impl AsyncWrite for Io {
+impl AsyncWrite for PooledStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if !LEAVE.try_with(|leave| leave.begin(&self.0)).unwrap_or(true) {
+        if !SEND_PERMIT.try_with(|permit| permit.begin(&self.0)).unwrap_or(true) {
             return Poll::Ready(Err(broken()));
         }
-        self.0.awaiting.set(true);
-        self.with(Err(broken()), |stream| stream.poll_write(cx, buf))
+        self.0.awaiting_response.set(true);
+        self.poll_open(Err(broken()), |stream| stream.poll_write(cx, buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(Err(broken()), |stream| stream.poll_flush(cx))
+        self.poll_open(Err(broken()), |stream| stream.poll_flush(cx))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(Ok(()), |stream| stream.poll_shutdown(cx))
+        self.poll_open(Ok(()), |stream| stream.poll_shutdown(cx))
     }
 }
 
-impl ActixStream for Io {
+impl ActixStream for PooledStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        self.with(Err(broken()), |stream| ActixStream::poll_read_ready(&*stream, cx))
+        self.poll_open(Err(broken()), |stream| ActixStream::poll_read_ready(&*stream, cx))
     }
 
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        self.with(Err(broken()), |stream| ActixStream::poll_write_ready(&*stream, cx))
+        self.poll_open(Err(broken()), |stream| ActixStream::poll_write_ready(&*stream, cx))
     }
 }
 
-/// Opens connections within the limit and closes those that have been idle.
+/// Opens connections within a limit and closes idle ones.
 #[derive(Clone)]
-pub struct Pool {
-    wires: Rc<RefCell<Vec<Weak<Wire>>>>,
-    most: usize,
-    pub idle: Duration,
-    resting: Duration,
+pub struct ConnectionPool {
+    connections: Rc<RefCell<Vec<Weak<PooledConnection>>>>,
+    max_connections: usize,
+    pub idle_timeout: Duration,
+    min_idle: Duration,
 }
 
-impl Pool {
-    pub fn new(limits: &Limits) -> Pool {
-        let Limits { runners: most, idle, resting, .. } = *limits;
-        Pool { wires: Rc::default(), most, idle, resting }
+impl ConnectionPool {
+    pub fn new(limits: &Limits) -> ConnectionPool {
+        ConnectionPool {
+            connections: Rc::default(),
+            max_connections: limits.runners,
+            idle_timeout: limits.idle,
+            min_idle: limits.resting,
+        }
     }
 
-    /// A client over this pool that adds nothing by itself: no redirects, time-outs or headers.
+    /// Returns a client over this pool without redirects, timeouts or default headers.
     pub fn client(&self, limits: &Limits) -> Client {
         let connector = Connector::new()
             .connector(self.clone())
@@ -161,40 +171,49 @@
             .finish()
     }
 
-    /// Counts a connection in, until it is dropped; it is not idle.
-    pub fn adopt(&self, stream: TcpStream, at: SocketAddr) -> Io {
-        let (stream, awaiting, touched) = (Some(stream).into(), true.into(), Instant::now().into());
-        let wire = Rc::new(Wire { stream, at, awaiting, touched });
-        self.wires.borrow_mut().push(Rc::downgrade(&wire));
-        Io(wire)
+    /// Adds a connection, which counts against the limit until it is dropped. It does not count as idle.
+    pub fn adopt(&self, stream: TcpStream, address: SocketAddr) -> PooledStream {
+        let connection = Rc::new(PooledConnection {
+            stream: Some(stream).into(),
+            address,
+            awaiting_response: true.into(),
+            last_activity: Instant::now().into(),
+        });
+        self.connections.borrow_mut().push(Rc::downgrade(&connection));
+        PooledStream(connection)
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
-        let mut wires = self.wires.borrow_mut();
-        wires.retain(|wire| wire.upgrade().is_some_and(|wire| wire.stream.borrow().is_some()));
-        wires.len()
-    }
-
-    /// Closes connections that have been idle for so long to the addresses chosen.
-    pub fn close_idle(&self, idle: Duration, chosen: impl Fn(SocketAddr) -> bool) {
-        let (now, idle) = (Instant::now(), idle.max(self.resting));
-        for wire in self.wires.borrow().iter().filter_map(Weak::upgrade) {
-            if chosen(wire.at) && !wire.awaiting.get() && now - wire.touched.get() > idle {
-                wire.stream.borrow_mut().take();
+        let mut connections = self.connections.borrow_mut();
+        connections.retain(|connection| {
+            connection.upgrade().is_some_and(|connection| connection.stream.borrow().is_some())
+        });
+        connections.len()
+    }
+
+    /// Closes connections to the selected addresses that have been idle for longer than `idle`.
+    pub fn close_idle(&self, idle: Duration, selected: impl Fn(SocketAddr) -> bool) {
+        let (now, idle) = (Instant::now(), idle.max(self.min_idle));
+        for connection in self.connections.borrow().iter().filter_map(Weak::upgrade) {
+            if selected(connection.address)
+                && !connection.awaiting_response.get()
+                && now - connection.last_activity.get() > idle
+            {
+                connection.stream.borrow_mut().take();
             }
         }
     }
 
-    /// Makes room for one more; an error if all connections are in use.
+    /// Makes room for one more connection; an error if all are in use.
     fn make_room(&self) -> io::Result<()> {
-        for idle in [self.idle, self.idle / 4, Duration::ZERO] {
-            if self.count() < self.most {
+        for idle in [self.idle_timeout, self.idle_timeout / 4, Duration::ZERO] {
+            if self.count() < self.max_connections {
                 return Ok(());
             }
             self.close_idle(idle, |_| true);
         }
-        if self.count() < self.most {
+        if self.count() < self.max_connections {
             Ok(())
         } else {
             Err(io::Error::other("too many connections to runners"))
@@ -202,27 +221,29 @@
     }
 }
 
-impl actix_service::Service<ConnectInfo<Uri>> for Pool {
-    type Response = Connection<Uri, Io>;
+impl actix_service::Service<ConnectInfo<Uri>> for ConnectionPool {
+    type Response = Connection<Uri, PooledStream>;
     type Error = TcpError;
-    type Future = LocalBoxFuture<'static, Result<Connection<Uri, Io>, TcpError>>;
+    type Future = LocalBoxFuture<'static, Result<Connection<Uri, PooledStream>, TcpError>>;
 
     actix_service::always_ready!();
 
     fn call(&self, info: ConnectInfo<Uri>) -> Self::Future {
         let pool = self.clone();
         Box::pin(async move {
-            let at = info.addrs().next().ok_or(TcpError::Unresolved)?;
+            let address = info.addrs().next().ok_or(TcpError::Unresolved)?;
             pool.make_room().map_err(TcpError::Io)?;
-            log::debug!("connection to {at}");
-            let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+            log::debug!("connection to {address}");
+            let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
             let socket = socket.map_err(TcpError::Io)?;
-            // The last of several small writes must not wait for the answer to the first. Set on the bare
-            // descriptor, before anything stands beside it that the compiler could hand over with it.
+            // The last of several small writes must not wait for the acknowledgement of the first. Set before
+            // the connect, where the descriptor is a bare `int`: some builds read it from the connected stream
+            // together with the field next to it and passed that in the register's upper half to setsockopt.
+            // The kernel ignores that half, but the bench's socket layer answered EBADF.
             socket.set_nodelay(true).map_err(TcpError::Io)?;
-            let stream = socket.connect(at).await.map_err(TcpError::Io)?;
+            let stream = socket.connect(address).await.map_err(TcpError::Io)?;
             let uri = info.request().clone();
-            Ok(Connection::new(uri, pool.adopt(stream, at)))
+            Ok(Connection::new(uri, pool.adopt(stream, address)))
         })
     }
 }
--- a/node/src/net/runners/report.rs
+++ b/node/src/net/runners/report.rs
@@ -1,11 +1,11 @@
-//! What runners write of themselves: load reports, in headers, bodies and call-backs, and the results of
-//! jobs. It owns both forms of a report. It must never decide what a figure means: the tables do.
+//! Parses load reports of runners, in headers, bodies and call-backs, and converts the results of jobs. The
+//! settings' tables decide which names a report may hold and what they mean.
 
 use bytes::Bytes;
 use sablerun as sr;
 use sablerun_settings::Tables;
 
-/// A load report written as `TEXT name=value, name=value`.
+/// Parses a load report written as `TEXT name=value, name=value`.
 pub fn load_text(tables: &Tables, text: &str) -> Option<sr::Report> {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
@@ -14,13 +14,13 @@
     (!values.is_empty()).then(|| tables.named_report(values))
 }
 
-/// A load report written as an object.
+/// Parses a load report written as a JSON object.
 pub fn load_object(tables: &Tables, load: &serde_json::Value) -> Option<sr::Report> {
     let values = load.as_object()?.iter();
     Some(tables.named_report(values.filter_map(|(name, value)| Some((name.as_str(), value.as_f64()?)))))
 }
 
-/// A load report in either form.
+/// Parses a load report in either form.
 pub fn load_body(tables: &Tables, body: &[u8]) -> Option<sr::Report> {
     match serde_json::from_slice(body) {
         Ok(value) => load_object(tables, &value),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A call-back's result as the body of the answer: text as it is, anything else as JSON.
+/// Converts a call-back's result to the body of the answer: text as it is, anything else as JSON.
 pub fn result_bytes(result: serde_json::Value) -> Bytes {
     match result {
         serde_json::Value::Null => Bytes::new(),
