--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -1,14 +1,14 @@
-//! Discovery: the watch on the list of runners and single calls for the whole of it. It owns the
-//! version that the dispatcher holds and the watch, turns hosts into the core's list, and tells the
-//! link where runners listen. It must never hold a change back, nor decide when or where to ask
-//! again: a watch that breaks or falls silent is reported, and the module asks. One that is late, with its
-//! first list or later, is read on until the next one tells something.
+//! The discovery client: the watch on the runner list, and single calls for the whole of it. Converts entries
+//! to the core's list and sets the addresses of the runner link. Passes every change on at once, and never
+//! decides when or where to ask again: a watch that breaks or falls silent is reported, and the balancer
+//! asks for the next. A watch that is late, with its first list or later, is read on until its successor
+//! delivers something.
 
 use crate::core::{Input, Listed, Source};
 use crate::net::hosts::Hosts;
 use crate::net::json_stream::JsonStream;
-use crate::net::loss::{Due, Loss, Lost};
 use crate::net::runners::{ConnectionPool, RunnerLink};
+use crate::net::watch::{FailureKind, GraceTimeout, WatchError};
 use crate::runtime::{Roster, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
@@ -19,24 +19,27 @@
 use std::rc::{Rc, Weak};
 use tokio::task::AbortHandle;
 
-/// The way to discovery.
+/// The client of discovery.
 pub struct DiscoveryClient {
     runtime: Weak<Runtime>,
     runners: Rc<RunnerLink>,
     client: Client,
-    seq: Cell<u64>,
-    /// Where `seq` was told, how often that has changed, the number of the watch that counts, and that watch.
-    at: Cell<Option<SocketAddr>>,
-    moves: Cell<u64>,
-    number: Cell<u64>,
+    /// The version of the list held here.
+    version: Cell<u64>,
+    /// The address that counts versions so.
+    address: Cell<Option<SocketAddr>>,
+    /// How often the address has changed.
+    address_changes: Cell<u64>,
+    /// The number of the current watch.
+    watch_number: Cell<u64>,
     watch: RefCell<Option<AbortHandle>>,
-    /// A loss was reported, and nothing has shown since that the list is up to date.
-    lost: Cell<bool>,
-    /// It has told a list since the start.
-    told: Cell<bool>,
-    /// Earlier watches that have not ended, until the new one tells something: what an old address still
-    /// tells binds too, a silent watch may only be late, and nothing may fall between the two.
-    before: RefCell<Vec<AbortHandle>>,
+    /// A failure was reported, and nothing has shown since that the list is up to date.
+    failure_reported: Cell<bool>,
+    /// Discovery has sent a list since the start.
+    list_received: Cell<bool>,
+    /// Earlier watches that have not ended, kept until the current one delivers something: changes that an old
+    /// address still sends count too, a silent watch may only be late, and no change may fall between the two.
+    previous_watches: RefCell<Vec<AbortHandle>>,
     this: Weak<DiscoveryClient>,
 }
 
@@ -47,44 +50,45 @@
             runtime: Rc::downgrade(runtime),
             runners: runners.clone(),
             client: pool.client(&runtime.limits),
-            seq: Cell::new(0),
-            at: Cell::new(None),
-            moves: Cell::new(0),
-            number: Cell::new(0),
+            version: Cell::new(0),
+            address: Cell::new(None),
+            address_changes: Cell::new(0),
+            watch_number: Cell::new(0),
             watch: RefCell::default(),
-            lost: Cell::default(),
-            told: Cell::default(),
-            before: RefCell::default(),
+            failure_reported: Cell::default(),
+            list_received: Cell::default(),
+            previous_watches: RefCell::default(),
             this: this.clone(),
         })
     }
 
-    /// Takes a list or a change of it.
+    /// Applies a list or a change of it, and takes on its version.
     pub fn apply_list(&self, kind: sr::ListKind, hosts: Hosts) {
-        self.seq.set(hosts.seq);
-        self.list(kind, hosts);
+        self.version.set(hosts.seq);
+        self.feed_list(kind, hosts);
     }
 
-    /// Whether newer news has overtaken a list or a change, asked for when `asked` was the version here. A whole
-    /// list older than that is of a discovery that counts anew: it holds.
-    fn overtaken(&self, asked: u64, hosts: &Hosts) -> bool {
-        hosts.seq < self.seq.get() && (!hosts.whole || hosts.seq >= asked)
+    /// Whether a newer version has overtaken a list or a change that was asked for at version `asked_at`. A whole
+    /// list older than `asked_at` comes from a discovery whose versions have restarted: it is valid.
+    fn overtaken(&self, asked_at: u64, hosts: &Hosts) -> bool {
+        hosts.seq < self.version.get() && (!hosts.whole || hosts.seq >= asked_at)
     }
 
-    /// The list was up to date just now.
-    fn alive(&self) {
-        if let Some(runtime) = self.runtime.upgrade().filter(|_| self.lost.take()) {
+    /// Reports the list as up to date if a failure was reported before.
+    fn confirm_up_to_date(&self) {
+        if let Some(runtime) = self.runtime.upgrade().filter(|_| self.failure_reported.take()) {
             runtime.feed(Input::List(Source::Discovery, sr::ListKind::Delta, Vec::new()));
         }
     }
 
-    fn list(&self, kind: sr::ListKind, hosts: Hosts) {
+    /// Hands a list or a change of it to the core, and the addresses to the runner link.
+    fn feed_list(&self, kind: sr::ListKind, hosts: Hosts) {
         let Some(runtime) = self.runtime.upgrade() else { return };
         let mut listed = Vec::with_capacity(hosts.hosts.len());
         for host in hosts.hosts {
             let standing = host.standing();
             match host.dial.parse() {
-                Ok(at) => self.runners.set_address(&host.host, at),
+                Ok(address) => self.runners.set_address(&host.host, address),
                 Err(e) if standing == sr::Standing::Ready => {
                     log::warn!("discovery: address {:?} of runner {}: {e}", host.dial, host.host);
                     continue;
@@ -105,92 +109,94 @@
         if let Some(observer) = runtime.observer() {
             observer.listed(hosts.seq);
         }
-        self.told.set(self.told.get() || kind != sr::ListKind::Saved);
+        self.list_received.set(self.list_received.get() || kind != sr::ListKind::Saved);
         runtime.feed(Input::List(Source::Discovery, kind, listed));
     }
 
-    /// Takes what was told to a call made after so many moves and at a version.
-    fn take_from(&self, moves: u64, asked: u64, hosts: Hosts) {
+    /// Applies the answer to a call that was made at this count of address changes and this version.
+    fn apply_answer(&self, address_changes: u64, asked_at: u64, hosts: Hosts) {
         let kind = if hosts.whole { sr::ListKind::Full } else { sr::ListKind::Delta };
-        match self.moves.get() == moves {
-            true if self.overtaken(asked, &hosts) => log::debug!("list {kind:?} {}: overtaken", hosts.seq),
+        match self.address_changes.get() == address_changes {
+            true if self.overtaken(asked_at, &hosts) => log::debug!("list {kind:?} {}: overtaken", hosts.seq),
             true => self.apply_list(kind, hosts),
-            // Its versions are another address's.
-            false => self.list(kind, hosts),
+            // Its version was counted by an earlier address, so the entries count but the version does not.
+            false => self.feed_list(kind, hosts),
         }
     }
 
-    /// Reads the watch until it ends; says why it did.
-    async fn follow(&self, at: SocketAddr, number: u64) -> Result<(), Loss> {
+    /// Reads a watch until it ends, and returns why it did.
+    async fn read_watch(&self, address: SocketAddr, number: u64) -> Result<(), WatchError> {
         let runtime = self.runtime.upgrade().ok_or("the program ends")?;
         let limits = &runtime.limits;
-        let (asked, moves) = (self.seq.get(), self.moves.get());
-        let url = format!("http://{at}/discovery/hosts?stream=1&index={asked}");
-        // A connection of its own: one kept from an earlier call may be closed as this is written.
-        let request = self.client.get(url).address(at).no_decompress().force_close().send();
-        let mut due = Due::new(limits.list, limits.watch_late);
-        let late = |why: &str, lost| {
-            if self.number.get() == number {
-                self.lose("watch", Loss { why: why.to_owned(), lost });
+        let (asked_at, address_changes) = (self.version.get(), self.address_changes.get());
+        let url = format!("http://{address}/discovery/hosts?stream=1&index={asked_at}");
+        // On a connection of its own: one kept from an earlier call may be closed while this is written.
+        let request = self.client.get(url).address(address).no_decompress().force_close().send();
+        let mut timeout = GraceTimeout::new(limits.list, limits.watch_late);
+        let report_late = |reason: &str, kind| {
+            if self.watch_number.get() == number {
+                self.report_failure("watch", WatchError { reason: reason.to_owned(), kind });
             }
         };
-        let mut response = due.wait(request, || late("no answer", Lost::Failed)).await??;
+        let mut response = timeout.wait(request, || report_late("no answer", FailureKind::Failed)).await??;
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        let (mut objects, mut heard) = (JsonStream::new(limits.watch_line), false);
+        let (mut stream, mut any_list) = (JsonStream::new(limits.watch_line), false);
         loop {
-            let told = due.wait(response.next(), || match heard {
-                true => late("silent", Lost::Silent),
-                false => late("no list", Lost::Failed),
+            let next = timeout.wait(response.next(), || match any_list {
+                true => report_late("silent", FailureKind::Silent),
+                false => report_late("no list", FailureKind::Failed),
             });
-            let Some(chunk) = told.await? else { return Err("ended".to_owned().into()) };
-            objects.extend(&chunk.map_err(|e| e.to_string())?);
-            let mut told = false;
-            while let Some(hosts) = objects.next()? {
-                told = true;
-                self.take_from(moves, asked, hosts);
+            let Some(chunk) = next.await? else { return Err("ended".to_owned().into()) };
+            stream.extend(&chunk.map_err(|e| e.to_string())?);
+            let mut list = false;
+            while let Some(hosts) = stream.next()? {
+                list = true;
+                self.apply_answer(address_changes, asked_at, hosts);
             }
-            heard |= told;
-            // Bytes alone are no sign of life: a whole object is, and then an empty line, which comes every 2 s.
-            if told || heard && objects.line() {
-                due = Due::new(limits.watch_silence, limits.watch_late);
-                if self.moves.get() == moves {
-                    self.alive();
+            any_list |= list;
+            // Bytes alone don't show that discovery is alive: a whole object does, and after the first one an
+            // empty line, which comes every 2 s.
+            if list || any_list && stream.take_blank_line() {
+                timeout = GraceTimeout::new(limits.watch_silence, limits.watch_late);
+                if self.address_changes.get() == address_changes {
+                    self.confirm_up_to_date();
                 }
-                if self.number.get() == number {
-                    self.before.take().iter().for_each(AbortHandle::abort);
+                if self.watch_number.get() == number {
+                    self.previous_watches.take().iter().for_each(AbortHandle::abort);
                 }
             }
         }
     }
 
-    async fn whole(&self, at: SocketAddr) -> Result<(), Loss> {
+    /// Asks for the whole list once and applies it.
+    async fn fetch_list(&self, address: SocketAddr) -> Result<(), WatchError> {
         let runtime = self.runtime.upgrade().ok_or("the program ends")?;
-        let (asked, moves) = (self.seq.get(), self.moves.get());
-        let url = format!("http://{at}/discovery/hosts");
+        let (asked_at, address_changes) = (self.version.get(), self.address_changes.get());
+        let url = format!("http://{address}/discovery/hosts");
         let call = async {
-            let request = self.client.get(url).address(at).no_decompress().force_close();
+            let request = self.client.get(url).address(address).no_decompress().force_close();
             let mut response = request.send().await?;
             if response.status() != StatusCode::OK {
                 return Err(format!("answered {}", response.status()).into());
             }
             let body = response.body().limit(runtime.limits.watch_line).await;
-            body.map_err(|e| Loss::from(e.to_string()))
+            body.map_err(|e| WatchError::from(e.to_string()))
         };
         let body = tokio::time::timeout(runtime.limits.list, call).await.map_err(|_| "no answer")??;
         let hosts = serde_json::from_slice(&body).map_err(|e| format!("the list can't be read: {e}"))?;
-        self.take_from(moves, asked, hosts);
+        self.apply_answer(address_changes, asked_at, hosts);
         Ok(())
     }
 
-    fn lose(&self, what: &str, loss: Loss) {
-        log::warn!("discovery: {what} failed: {}", loss.why);
+    fn report_failure(&self, what: &str, error: WatchError) {
+        log::warn!("discovery: {what} failed: {}", error.reason);
         if let Some(runtime) = self.runtime.upgrade() {
-            self.lost.set(true);
-            runtime.feed(match loss.lost {
-                Lost::Failed => Input::ListFailed,
-                Lost::Silent => Input::ListSilent,
+            self.failure_reported.set(true);
+            runtime.feed(match error.kind {
+                FailureKind::Failed => Input::ListFailed,
+                FailureKind::Silent => Input::ListSilent,
             });
         }
     }
@@ -199,39 +205,39 @@
 impl Roster for DiscoveryClient {
     fn subscribe(&self, at: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
-        let moved = self.at.replace(Some(at)).is_some_and(|before| before != at);
-        if moved {
-            // Another address may count its versions otherwise: the whole list is asked for.
-            self.seq.set(0);
-            self.moves.set(self.moves.get() + 1);
+        let address_changed = self.address.replace(Some(at)).is_some_and(|previous| previous != at);
+        if address_changed {
+            // Another address may count versions differently, so the whole list is asked for.
+            self.version.set(0);
+            self.address_changes.set(self.address_changes.get() + 1);
         }
-        let number = self.number.get() + 1;
-        self.number.set(number);
+        let number = self.watch_number.get() + 1;
+        self.watch_number.set(number);
         let task = actix_rt::spawn(async move {
-            if let Err(loss) = this.follow(at, number).await {
-                if this.number.get() == number {
-                    this.lose("watch", loss);
+            if let Err(error) = this.read_watch(at, number).await {
+                if this.watch_number.get() == number {
+                    this.report_failure("watch", error);
                 } else {
-                    log::debug!("discovery: the watch before ended: {}", loss.why);
+                    log::debug!("discovery: the watch before ended: {}", error.reason);
                 }
             }
         });
         let last = self.watch.borrow_mut().replace(task.abort_handle());
-        let mut before = self.before.borrow_mut();
-        before.extend(last);
-        before.retain(|watch| !watch.is_finished());
+        let mut previous_watches = self.previous_watches.borrow_mut();
+        previous_watches.extend(last);
+        previous_watches.retain(|watch| !watch.is_finished());
     }
 
     fn fetch(&self, at: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
         actix_rt::spawn(async move {
-            if let Err(loss) = this.whole(at).await {
-                this.lose("call", loss);
+            if let Err(error) = this.fetch_list(at).await {
+                this.report_failure("call", error);
             }
         });
     }
 
     fn told(&self) -> bool {
-        self.told.get()
+        self.list_received.get()
     }
 }
