--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -1,9 +1,7 @@
-//! The second front: the Faktory work protocol, with the dispatcher as the server that clients push
-//! to and workers fetch from. It owns the operator's file, the Faktory connections, the workers that
-//! came over them and the jobs those hold. It is a front and a link at once: a PUSH becomes a request
-//! and its one final answer, and an attempt goes to the worker that the module drew, parked in FETCH
-//! or not. It must never choose a worker, repeat a job by itself or hand one out after its worker
-//! went quiet; what a worker says of a job already settled changes nothing.
+//! The Faktory front: the Faktory work protocol, with the dispatcher as the server that clients push to and
+//! workers fetch from. It is a front and a link at once: a PUSH becomes a request with one final answer, and an
+//! attempt goes to the worker that the balancer chose, whether or not that is parked in FETCH. Never chooses a
+//! worker, repeats a job or hands one to a quiet worker. An ACK or FAIL of a finished job changes nothing.
 
 use crate::core::{Answer, Arrival, AttemptId, Ending, Input, Listed, Source};
 use crate::limits::Limits;
@@ -27,26 +25,26 @@
 use tokio::sync::{Notify, oneshot};
 use tokio_rustls::TlsAcceptor;
 
-/// The section `faktory` of the operator's file.
+/// The `faktory` section of the operator's file.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaktoryConfig {
     pub listen: SocketAddr,
-    /// No TLS and no identities; said so on purpose.
+    /// No TLS and no identities; must be stated explicitly.
     #[serde(default)]
     pub plaintext: bool,
-    /// A file that holds the password of HELLO, if one is asked for.
+    /// A file with the password that HELLO must prove, if one is required.
     pub password_file: Option<PathBuf>,
-    /// Whose share counts where neither identity nor route says it.
+    /// The member whose share counts where neither the identity, the route nor the job names one.
     pub member: Option<String>,
-    /// Where workers stand and of what machine kind they are, unless their identity says it.
+    /// The zone and machine kind of workers whose identity names none.
     pub zone: Option<String>,
     pub kind: Option<String>,
     #[serde(default = "default_fetch_wait")]
     pub fetch_wait_ms: u64,
     #[serde(default = "default_beat_limit")]
     pub beat_limit_s: f64,
-    /// Jobs that may wait for a worker's next FETCH.
+    /// Most jobs that may be queued for a worker's next FETCH.
     #[serde(default = "default_queue")]
     pub queue_per_worker: usize,
     pub tls: Option<spiffe::Files>,
@@ -70,11 +68,11 @@
     8
 }
 
-/// What an identity may do, and for whom.
+/// The role and attributes of an identity.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// A SPIFFE ID, or the start of some followed by `/*`.
+    /// A SPIFFE ID, or a prefix of SPIFFE IDs followed by `/*`.
     pub id: String,
     pub role: Role,
     pub member: Option<String>,
@@ -90,7 +88,7 @@
     Both,
 }
 
-/// What a queue's or job type's jobs are to the dispatcher; the first that matches counts.
+/// The class and target of the jobs of a queue or job type; the first route that matches counts.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
@@ -98,9 +96,9 @@
     pub jobtype: Option<String>,
     pub class: String,
     pub member: Option<String>,
-    /// The client's patience; the class's if it is left out.
+    /// The jobs' deadline; the class's if it is left out.
     pub deadline_ms: Option<u64>,
-    /// Path under which runners of the platform get the job.
+    /// The URL path under which runners of the platform get the job.
     #[serde(default = "default_target")]
     pub target: String,
 }
@@ -109,7 +107,7 @@
     "/api".to_owned()
 }
 
-/// The keys of a job's `custom` that count.
+/// The names of the keys in a job's `custom` that the dispatcher reads.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Custom {
@@ -119,7 +117,7 @@
     pub cost_us: String,
     pub slots: String,
     pub key: String,
-    /// True where the client's own later try is marked.
+    /// True for the client's own later try of a job.
     pub retry: String,
 }
 
@@ -139,14 +137,14 @@
 }
 
 impl FaktoryConfig {
-    /// Whether the file makes sense with these settings.
+    /// Checks the section against the settings.
     ///
     /// # Errors
     ///
     /// Names the key at fault.
     pub fn check(&self, tables: &sablerun_settings::Tables) -> Result<(), String> {
-        let known = |what: &sablerun_settings::Names, name: &Option<String>, key: &str| match name {
-            Some(name) if what.get(name).is_none() => Err(format!("{key}: {name:?} is not in the settings")),
+        let known = |names: &sablerun_settings::Names, name: &Option<String>, key: &str| match name {
+            Some(name) if names.get(name).is_none() => Err(format!("{key}: {name:?} is not in the settings")),
             _ => Ok(()),
         };
         if self.plaintext == self.tls.is_some() {
@@ -188,70 +186,70 @@
     }
 }
 
-/// Who is at the other end of a connection, and what that allows.
+/// The peer of a connection and its permissions.
 #[derive(Clone)]
 pub struct Peer {
     name: String,
-    client: bool,
-    worker: bool,
+    is_client: bool,
+    is_worker: bool,
     member: Option<String>,
     zone: Option<String>,
     kind: Option<String>,
 }
 
-/// A job that waits for its worker's next FETCH.
-struct Waiting {
+/// A job queued for its worker's next FETCH.
+struct QueuedJob {
     attempt: AttemptId,
     jid: Rc<str>,
     queue: String,
     frame: Bytes,
 }
 
-/// A job that a worker has been given.
-struct Running {
-    /// `None` once it was given up: the worker may go on, but nobody waits.
+/// A job handed to a worker.
+struct RunningJob {
+    /// `None` once the attempt was cancelled: the worker may go on, but its result is ignored.
     attempt: Option<AttemptId>,
     connection: u64,
-    /// It went out whole on its connection.
+    /// The job was written whole to the connection.
     written: bool,
-    since: Instant,
+    started: Instant,
 }
 
-/// A job on its way to a connection.
-struct Handed {
+/// A job to write to the connection of a parked FETCH.
+struct Delivery {
     jid: Rc<str>,
     frame: Bytes,
 }
 
-/// A FETCH that waits for a job: a free slot.
-struct Parked {
+/// A FETCH that waits for a job, which is a free slot of its worker.
+struct ParkedFetch {
     connection: u64,
     queues: Vec<String>,
-    hand_over: oneshot::Sender<Handed>,
+    delivery: oneshot::Sender<Delivery>,
 }
 
-/// A worker process, by its wid.
+/// A worker process, identified by its wid.
 struct Worker {
     peer: String,
     zone: String,
     kind: String,
-    since: sr::Time,
-    /// Its connections, by number: one of a process of that wid given up before is not among them.
+    up_since: sr::Time,
+    /// The numbers of its connections; those of an earlier process with the same wid are not among them.
     connections: HashSet<u64>,
-    beat: Instant,
+    last_beat: Instant,
     quiet: bool,
     queues: HashSet<String>,
-    parked: VecDeque<Parked>,
-    waiting: VecDeque<Waiting>,
-    running: HashMap<Rc<str>, Running>,
-    /// Service time of late, in seconds.
+    parked: VecDeque<ParkedFetch>,
+    queued: VecDeque<QueuedJob>,
+    running: HashMap<Rc<str>, RunningJob>,
+    /// Moving average of the service time, in seconds.
     latency: Option<f64>,
 }
 
 impl Worker {
     fn report(&self) -> sr::Report {
         sr::Report {
-            inflight: Some((self.running.len() + self.waiting.len()) as f64),
+            inflight: Some((self.running.len() + self.queued.len()) as f64),
             latency: self.latency.map(sr::Span::from_secs),
             free_slots: Some(self.parked.len() as f64),
             ..sr::Report::default()
@@ -259,61 +257,61 @@
     }
 }
 
-/// The front.
+/// The Faktory front, which is also the link to its workers.
 pub struct Faktory {
     runtime: Rc<Runtime>,
-    gateway: FaktoryConfig,
+    config: FaktoryConfig,
     password: Option<String>,
     identities: Option<Arc<Identities>>,
     workers: RefCell<HashMap<String, Worker>>,
     attempts: RefCell<HashMap<AttemptId, (String, Rc<str>)>>,
     connections: Cell<usize>,
-    closed: Notify,
-    numbers: Cell<u64>,
-    commands: Cell<u64>,
+    connection_closed: Notify,
+    last_connection: Cell<u64>,
+    command_count: Cell<u64>,
 }
 
-/// Wids live in a name space of their own beside discovery's hosts.
+/// Returns the runner name of a worker. The prefix keeps wids apart from the names of discovery's hosts.
 fn runner_name(wid: &str) -> String {
     format!("wid:{wid}")
 }
 
-/// The front's own end of a conversation: close the connection, with or without a last word.
-enum End {
+/// Why a session ends: the connection is closed, with or without an error reply first.
+enum Disconnect {
     Closed,
-    Say(String),
+    WithError(String),
 }
 
-impl From<io::Error> for End {
-    fn from(_: io::Error) -> End {
-        End::Closed
+impl From<io::Error> for Disconnect {
+    fn from(_: io::Error) -> Disconnect {
+        Disconnect::Closed
     }
 }
 
 impl Faktory {
-    /// The front that an operator's file sets up; reads the files it names.
+    /// Creates the front from its section of the operator's file, and reads the files named there.
     ///
     /// # Errors
     ///
     /// Names the key at fault.
-    pub fn new(runtime: &Rc<Runtime>, gateway: FaktoryConfig) -> Result<Rc<Faktory>, String> {
+    pub fn new(runtime: &Rc<Runtime>, config: FaktoryConfig) -> Result<Rc<Faktory>, String> {
         let read = |path: &PathBuf| {
             let text = std::fs::read_to_string(path);
             text.map_err(|e| format!("password_file: {}: {e}", path.display()))
         };
-        let password = gateway.password_file.as_ref().map(read).transpose()?;
-        let identities = gateway.tls.clone().map(Identities::load).transpose()?;
+        let password = config.password_file.as_ref().map(read).transpose()?;
+        let identities = config.tls.clone().map(Identities::load).transpose()?;
         Ok(Rc::new(Faktory {
             runtime: runtime.clone(),
-            gateway,
+            config,
             password: password.map(|text| text.trim().to_owned()),
             identities,
             workers: RefCell::default(),
             attempts: RefCell::default(),
             connections: Cell::new(0),
-            closed: Notify::new(),
-            numbers: Cell::new(0),
-            commands: Cell::new(0),
+            connection_closed: Notify::new(),
+            last_connection: Cell::new(0),
+            command_count: Cell::new(0),
         }))
     }
 
@@ -325,7 +323,7 @@
         };
         loop {
             while self.connections.get() >= self.runtime.limits.callers {
-                self.closed.notified().await;
+                self.connection_closed.notified().await;
             }
             let (stream, from) = match listener.accept().await {
                 Ok(accepted) => accepted,
@@ -339,15 +337,16 @@
             self.connections.set(self.connections.get() + 1);
             let (front, acceptor) = (self.clone(), acceptor.clone());
             actix_rt::spawn(async move {
-                let _closed = Counted(front.clone());
+                let _counted = ConnectionCount(front.clone());
                 match acceptor {
                     None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
-                        let shaken = tokio::time::timeout(front.runtime.limits.head, acceptor.accept(stream));
-                        match shaken.await {
+                        let handshake =
+                            tokio::time::timeout(front.runtime.limits.head, acceptor.accept(stream));
+                        match handshake.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
                                 Ok(peer) => front.serve_connection(stream, peer).await,
-                                Err(why) => log::warn!("faktory: peer at {from} refused: {why}"),
+                                Err(reason) => log::warn!("faktory: peer at {from} refused: {reason}"),
                             },
                             Ok(Err(e)) => log::warn!("faktory: no TLS with {from}: {e}"),
                             Err(_) => log::warn!("faktory: no TLS with {from}: too slow"),
@@ -358,39 +357,40 @@
         }
     }
 
-    /// Looks after what time alone brings about: workers without beats, files that rotated.
+    /// Runs the periodic tasks: removes workers without heartbeats and reloads rotated files.
     pub async fn run_maintenance(self: Rc<Self>) {
-        let limit = Duration::from_secs_f64(self.gateway.beat_limit_s);
-        let reload = self.gateway.tls.as_ref().map_or(f64::MAX, |tls| tls.reload_s);
+        let beat_timeout = Duration::from_secs_f64(self.config.beat_limit_s);
+        let reload_interval = self.config.tls.as_ref().map_or(f64::MAX, |tls| tls.reload_s);
         let sweep = self.runtime.limits.sweep.as_secs_f64();
-        let pause = (limit.as_secs_f64() / 10.0).min(sweep).min(reload);
-        let mut looked = Instant::now();
+        let interval = (beat_timeout.as_secs_f64() / 10.0).min(sweep).min(reload_interval);
+        let mut last_reload = Instant::now();
         loop {
-            tokio::time::sleep(Duration::from_secs_f64(pause)).await;
-            let silent = |worker: &Worker| worker.beat.elapsed() > limit;
+            tokio::time::sleep(Duration::from_secs_f64(interval)).await;
+            let silent = |worker: &Worker| worker.last_beat.elapsed() > beat_timeout;
             let workers = self.workers.borrow();
-            let gone: Vec<_> =
+            let silent_wids: Vec<_> =
                 workers.iter().filter(|(_, w)| silent(w)).map(|(wid, _)| wid.clone()).collect();
             drop(workers);
-            // A job that nobody waits for is kept in mind only while its worker may rightly run it.
-            let old =
-                |job: &Running| job.attempt.is_none() && job.since.elapsed() > self.runtime.limits.reserve;
+            // A cancelled job counts as running only for as long as its worker may reserve it.
+            let expired = |job: &RunningJob| {
+                job.attempt.is_none() && job.started.elapsed() > self.runtime.limits.reserve
+            };
             let mut workers = self.workers.borrow_mut();
-            workers.values_mut().for_each(|worker| worker.running.retain(|_, job| !old(job)));
+            workers.values_mut().for_each(|worker| worker.running.retain(|_, job| !expired(job)));
             drop(workers);
-            for wid in gone {
+            for wid in silent_wids {
                 log::warn!("faktory: worker {wid} has missed its beats: gone");
-                self.lose(&wid, None);
+                self.disconnect(&wid, None);
                 self.workers.borrow_mut().remove(&wid);
             }
-            if looked.elapsed().as_secs_f64() >= reload {
-                looked = Instant::now();
+            if last_reload.elapsed().as_secs_f64() >= reload_interval {
+                last_reload = Instant::now();
                 self.reload();
             }
         }
     }
 
-    /// Reads SVID and bundles anew if their files changed.
+    /// Reloads the SVID and the bundles if their files have changed.
     pub fn reload(&self) {
         match self.identities.as_ref().map(|identities| identities.reload()) {
             Some(Ok(true)) => log::info!("faktory: SVID and bundles reloaded"),
@@ -399,131 +399,136 @@
         }
     }
 
+    /// Returns the peer of a connection without TLS, which may be a client and a worker.
     pub fn plaintext_peer(&self, from: SocketAddr) -> Peer {
         let name = from.ip().to_string();
-        Peer { name, client: true, worker: true, member: None, zone: None, kind: None }
+        Peer { name, is_client: true, is_worker: true, member: None, zone: None, kind: None }
     }
 
+    /// Returns the peer that a client certificate identifies.
     fn tls_peer(&self, tls: &rustls::ServerConnection) -> Result<Peer, String> {
         let leaf = tls.peer_certificates().and_then(|chain| chain.first()).ok_or("no certificate")?;
         let id = spiffe::id_of(leaf)?;
-        let rule = self.gateway.identity.iter().find(|rule| match rule.id.strip_suffix("/*") {
-            Some(start) => id.as_str().strip_prefix(start).is_some_and(|rest| rest.starts_with('/')),
+        let rule = self.config.identity.iter().find(|rule| match rule.id.strip_suffix("/*") {
+            Some(prefix) => id.as_str().strip_prefix(prefix).is_some_and(|rest| rest.starts_with('/')),
             None => rule.id == id.as_str(),
         });
         let rule = rule.ok_or_else(|| format!("{} is in no identity of the file", id.as_str()))?;
         Ok(Peer {
             name: id.as_str().to_owned(),
-            client: rule.role != Role::Worker,
-            worker: rule.role != Role::Client,
+            is_client: rule.role != Role::Worker,
+            is_worker: rule.role != Role::Client,
             member: rule.member.clone(),
             zone: rule.zone.clone(),
             kind: rule.kind.clone(),
         })
     }
 
-    // ---- conversations ----
+    // ---- sessions ----
 
+    /// Runs a session on an accepted connection until it ends.
     pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
-        self.numbers.set(self.numbers.get() + 1);
-        let number = self.numbers.get();
-        let Limits { frame: most, body_wait: pace, .. } = self.runtime.limits;
-        let mut wire = Wire { stream, buffer: BytesMut::new(), most, pace };
+        self.last_connection.set(self.last_connection.get() + 1);
+        let number = self.last_connection.get();
+        let Limits { frame: max_frame_bytes, body_wait: frame_timeout, .. } = self.runtime.limits;
+        let mut transport = Transport { stream, buffer: BytesMut::new(), max_frame_bytes, frame_timeout };
         let mut session = Session { front: self.clone(), number, wid: None };
-        let ended = self.hello(&mut wire, &peer, &mut session).await;
+        let ended = self.handshake(&mut transport, &peer, &mut session).await;
         let ended = match ended {
-            Ok(()) => self.commands(&mut wire, &peer, &session).await,
-            Err(end) => Err(end),
+            Ok(()) => self.serve_commands(&mut transport, &peer, &session).await,
+            Err(disconnect) => Err(disconnect),
         };
-        // Whatever this connection was given and did not finish ends before its last word is written.
+        // The attempts on this connection end before the error reply is written.
         drop(session);
-        if let Err(End::Say(word)) = ended {
-            let last = format!("-ERR {word}\r\n");
-            let _ = tokio::time::timeout(self.runtime.limits.head, wire.say(&last)).await;
-            log::info!("faktory: connection of {} closed: {word}", peer.name);
-            // Guards against a reset by what is unread, which may destroy the last word on its way.
-            let _ = tokio::time::timeout(self.runtime.limits.linger, wire.read_on()).await;
+        if let Err(Disconnect::WithError(error)) = ended {
+            let reply = format!("-ERR {error}\r\n");
+            let _ = tokio::time::timeout(self.runtime.limits.head, transport.send(&reply)).await;
+            log::info!("faktory: connection of {} closed: {error}", peer.name);
+            // Closing over unread input resets the connection, which may destroy the reply in transit.
+            let _ = tokio::time::timeout(self.runtime.limits.linger, transport.linger()).await;
         }
     }
 
-    async fn hello<S: AsyncRead + AsyncWrite + Unpin>(
+    /// Sends HI and checks the client's HELLO.
+    async fn handshake<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
-        wire: &mut Wire<S>,
+        transport: &mut Transport<S>,
         peer: &Peer,
         session: &mut Session,
-    ) -> Result<(), End> {
-        let salt = format!("{:016x}", salt(session.number, &self.runtime));
+    ) -> Result<(), Disconnect> {
+        let salt = format!("{:016x}", new_salt(session.number, &self.runtime));
         let greeting = match &self.password {
-            Some(_) => json!({"v": 2, "i": HASHES, "s": salt}),
+            Some(_) => json!({"v": 2, "i": PASSWORD_HASH_ROUNDS, "s": salt}),
             None => json!({"v": 2}),
         };
-        wire.say(&format!("+HI {greeting}\r\n")).await?;
-        let line = tokio::time::timeout(self.runtime.limits.head, wire.line()).await;
-        let line = line.map_err(|_| End::Say("MALFORMED no HELLO in time".to_owned()))??;
-        let malformed = |what: &str| End::Say(format!("MALFORMED HELLO: {what}"));
+        transport.send(&format!("+HI {greeting}\r\n")).await?;
+        let line = tokio::time::timeout(self.runtime.limits.head, transport.read_line()).await;
+        let line = line.map_err(|_| Disconnect::WithError("MALFORMED no HELLO in time".to_owned()))??;
+        let malformed = |what: &str| Disconnect::WithError(format!("MALFORMED HELLO: {what}"));
         let hello = line.strip_prefix("HELLO ").ok_or_else(|| malformed("it comes first"))?;
         let hello: Value = serde_json::from_str(hello).map_err(|_| malformed("no JSON object"))?;
         if hello["v"].as_u64() != Some(2) {
             return Err(malformed("the version spoken here is 2"));
         }
         if let Some(password) = &self.password {
-            let told = hello["pwdhash"].as_str().unwrap_or("");
-            if !same(told.as_bytes(), password_hash(password, &salt, HASHES).as_bytes()) {
+            let presented = hello["pwdhash"].as_str().unwrap_or("");
+            let expected = password_hash(password, &salt, PASSWORD_HASH_ROUNDS);
+            if !constant_time_eq(presented.as_bytes(), expected.as_bytes()) {
                 log::warn!("faktory: {} gave a wrong password", peer.name);
-                return Err(End::Say("DENIED invalid password".to_owned()));
+                return Err(Disconnect::WithError("DENIED invalid password".to_owned()));
             }
         }
         match &hello["wid"] {
             Value::Null => {}
             Value::String(wid) if !wid.is_empty() && wid.len() <= 128 && wid.is_ascii() => {
-                self.join(wid, peer, session.number)?;
+                self.register_worker(wid, peer, session.number)?;
                 session.wid = Some(wid.clone());
             }
             _ => return Err(malformed("wid")),
         }
-        Ok(wire.say("+OK\r\n").await?)
+        Ok(transport.send("+OK\r\n").await?)
     }
 
-    /// A worker's connection has said who it is.
-    fn join(&self, wid: &str, peer: &Peer, connection: u64) -> Result<(), End> {
-        if !peer.worker {
-            log::warn!("faktory: {} came as worker {wid}, but is none", peer.name);
-            return Err(End::Say("DENIED this identity is not a worker's".to_owned()));
+    /// Adds a connection to its worker, which is created for a new wid.
+    fn register_worker(&self, wid: &str, peer: &Peer, connection: u64) -> Result<(), Disconnect> {
+        if !peer.is_worker {
+            log::warn!("faktory: {} said HELLO as worker {wid}, but has no worker's role", peer.name);
+            return Err(Disconnect::WithError("DENIED this identity is not a worker's".to_owned()));
         }
         let mut workers = self.workers.borrow_mut();
         if workers.get(wid).is_some_and(|worker| worker.peer != peer.name) {
-            log::warn!("faktory: {} came under another's wid {wid}", peer.name);
-            return Err(End::Say("DENIED this wid is another's".to_owned()));
+            log::warn!("faktory: {} used wid {wid}, which belongs to another peer", peer.name);
+            return Err(Disconnect::WithError("DENIED this wid is another's".to_owned()));
         }
-        let place = |own: &Option<String>, file: &Option<String>| own.clone().or(file.clone());
+        let or_default = |own: &Option<String>, default: &Option<String>| own.clone().or(default.clone());
         let worker = workers.entry(wid.to_owned()).or_insert_with(|| Worker {
             peer: peer.name.clone(),
-            zone: place(&peer.zone, &self.gateway.zone).unwrap_or_default(),
-            kind: place(&peer.kind, &self.gateway.kind).unwrap_or_default(),
-            // A wid not met before is a process that has just started, and cold.
-            since: self.runtime.clock.now(),
+            zone: or_default(&peer.zone, &self.config.zone).unwrap_or_default(),
+            kind: or_default(&peer.kind, &self.config.kind).unwrap_or_default(),
+            // An unknown wid is taken for a process that has just started, and is in its slow start.
+            up_since: self.runtime.clock.now(),
             connections: HashSet::new(),
-            beat: Instant::now(),
+            last_beat: Instant::now(),
             quiet: false,
             queues: HashSet::new(),
             parked: VecDeque::new(),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             running: HashMap::new(),
             latency: None,
         });
         worker.connections.insert(connection);
-        worker.beat = Instant::now();
-        let back = worker.connections.len() == 1 && !worker.queues.is_empty();
+        worker.last_beat = Instant::now();
+        let reconnected = worker.connections.len() == 1 && !worker.queues.is_empty();
         drop(workers);
-        if back {
+        if reconnected {
             log::info!("faktory: worker {wid} of {} is back", peer.name);
-            self.list(wid);
+            self.report_worker(wid);
         }
         Ok(())
     }
 
-    /// Tells the core where a worker stands.
-    fn list(&self, wid: &str) {
+    /// Reports a worker's standing to the core.
+    fn report_worker(&self, wid: &str) {
         let workers = self.workers.borrow();
         let Some(worker) = workers.get(wid) else { return };
         let standing = match worker {
@@ -538,42 +543,45 @@
             cell: 0,
             standing,
             size: 1.0,
-            up_since: Some(worker.since),
+            up_since: Some(worker.up_since),
         };
         drop(workers);
         self.runtime.feed(Input::List(Source::Callers, sr::ListKind::Delta, vec![listed]));
     }
 
-    async fn commands<S: AsyncRead + AsyncWrite + Unpin>(
+    /// Serves commands until END or the end of the connection.
+    async fn serve_commands<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
-        wire: &mut Wire<S>,
+        transport: &mut Transport<S>,
         peer: &Peer,
         session: &Session,
-    ) -> Result<(), End> {
+    ) -> Result<(), Disconnect> {
         loop {
-            let line = wire.line().await?;
-            self.commands.set(self.commands.get() + 1);
+            let line = transport.read_line().await?;
+            self.command_count.set(self.command_count.get() + 1);
             let (verb, rest) = line.split_once(' ').unwrap_or((&line, ""));
             let reply = match (verb, &session.wid) {
-                ("PUSH", _) if !peer.client => Err("DENIED this identity is not a client's".to_owned()),
-                ("PUSH", _) => match self.read_job(rest, peer) {
-                    Ok(arrival) => self.push(wire, arrival).await?,
-                    Err(what) => Err(format!("MALFORMED PUSH: {what}")),
+                ("PUSH", _) if !peer.is_client => Err("DENIED this identity is not a client's".to_owned()),
+                ("PUSH", _) => match self.parse_job(rest, peer) {
+                    Ok(arrival) => self.handle_push(transport, arrival).await?,
+                    Err(reason) => Err(format!("MALFORMED PUSH: {reason}")),
                 },
-                ("FETCH", Some(wid)) if !self.holds(wid, session.number) => Err(given_up()),
+                ("FETCH", Some(wid)) if !self.has_connection(wid, session.number) => Err(worker_removed()),
                 ("FETCH", Some(wid)) => {
-                    self.fetch(wire, session.number, wid, rest).await?;
+                    self.handle_fetch(transport, session.number, wid, rest).await?;
                     continue;
                 }
-                ("ACK" | "FAIL" | "BEAT", Some(wid)) if !self.holds(wid, session.number) => Err(given_up()),
-                ("ACK", Some(wid)) => self.settle(wid, rest, sr::Outcome::Ok),
-                ("FAIL", Some(wid)) => self.settle(wid, rest, sr::Outcome::Error),
-                ("BEAT", Some(wid)) => self.beat(wid, rest),
+                ("ACK" | "FAIL" | "BEAT", Some(wid)) if !self.has_connection(wid, session.number) => {
+                    Err(worker_removed())
+                }
+                ("ACK", Some(wid)) => self.finish_job(wid, rest, sr::Outcome::Ok),
+                ("FAIL", Some(wid)) => self.finish_job(wid, rest, sr::Outcome::Error),
+                ("BEAT", Some(wid)) => self.handle_beat(wid, rest),
                 ("FETCH" | "ACK" | "FAIL" | "BEAT", None) => {
                     Err(format!("DENIED {verb} is for workers: HELLO gave no wid"))
                 }
                 ("INFO", _) => {
-                    wire.bulk(self.info().as_bytes()).await?;
+                    transport.send_bulk(self.info().as_bytes()).await?;
                     continue;
                 }
                 ("FLUSH", _) => Err("DENIED FLUSH: jobs that were taken are not dropped here".to_owned()),
@@ -581,21 +589,21 @@
                 (verb, _) => Err(format!("UNKNOWN command {}", printable(verb))),
             };
             match reply {
-                Ok(()) => wire.say("+OK\r\n").await?,
-                Err(word) => wire.say(&format!("-ERR {word}\r\n")).await?,
+                Ok(()) => transport.send("+OK\r\n").await?,
+                Err(error) => transport.send(&format!("-ERR {error}\r\n")).await?,
             }
         }
     }
 
     // ---- clients ----
 
-    /// A pushed job as the core's request, but for its ticket.
-    fn read_job(&self, text: &str, peer: &Peer) -> Result<Arrival<Rc<Job>>, String> {
+    /// Parses a pushed job into the core's request, without its ticket.
+    fn parse_job(&self, text: &str, peer: &Peer) -> Result<Arrival<Rc<Job>>, String> {
         let job: Value = serde_json::from_str(text).map_err(|_| "no JSON".to_owned())?;
         let jid = job["jid"].as_str().ok_or("jid is missing")?;
-        // It becomes part of a path where a runner of the platform has to give the job up.
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
-        if jid.len() < 8 || jid.len() > 128 || !jid.bytes().all(plain) {
+        // The jid becomes part of a URL path when the job is cancelled at a runner of the platform.
+        let unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
+        if jid.len() < 8 || jid.len() > 128 || !jid.bytes().all(unreserved) {
             return Err("jid is malformed".to_owned());
         }
         let jobtype = job["jobtype"].as_str().filter(|t| !t.is_empty()).ok_or("jobtype is missing")?;
@@ -607,20 +615,21 @@
         if !matches!(&job["at"], Value::Null) {
             return Err("at: jobs for later are not taken".to_owned());
         }
-        let (names, custom) = (&self.gateway.custom, &job["custom"]);
+        let (names, custom) = (&self.config.custom, &job["custom"]);
         let string = |key: &str| match &custom[key] {
             Value::Null => Ok(None),
             value => value.as_str().map(Some).ok_or_else(|| format!("custom.{key} is malformed")),
         };
-        let figure = |key: &str| match &custom[key] {
+        let number = |key: &str| match &custom[key] {
             Value::Null => Ok(None),
             value => {
-                let figure = value.as_f64().filter(|x| x.is_finite() && *x >= 0.0);
-                figure.map(Some).ok_or_else(|| format!("custom.{key} is malformed"))
+                let number = value.as_f64().filter(|x| x.is_finite() && *x >= 0.0);
+                number.map(Some).ok_or_else(|| format!("custom.{key} is malformed"))
             }
         };
-        let matches = |want: &Option<String>, is: &str| want.as_deref().is_none_or(|want| want == is);
-        let mut routes = self.gateway.route.iter();
+        let matches =
+            |pattern: &Option<String>, name: &str| pattern.as_deref().is_none_or(|pattern| pattern == name);
+        let mut routes = self.config.route.iter();
         let route = routes.find(|r| matches(&r.queue, queue) && matches(&r.jobtype, jobtype));
         let class_name = match (string(&names.class)?, route) {
             (Some(class), _) => class,
@@ -629,19 +638,19 @@
         };
         let class = self.runtime.with_class(class_name, |number, class| (number, class.deadline));
         let (class, deadline) = class.ok_or("custom names no known class")?;
-        // An identity speaks for its member alone; only where nothing says it may the job.
-        let settled = peer.member.as_deref().or(route.and_then(|r| r.member.as_deref()));
+        // An identity acts for its own member only. The job may name one where neither identity nor route does.
+        let assigned = peer.member.as_deref().or(route.and_then(|r| r.member.as_deref()));
         let named = string(&names.member)?;
-        let member = settled.or(named).or(self.gateway.member.as_deref());
+        let member = assigned.or(named).or(self.config.member.as_deref());
         let tenant = self.runtime.tenant(member);
         let tenant = tenant.map_err(|()| "no known member: neither identity, route nor custom names one")?;
-        let patience = match (figure(&names.timeout_ms)?, route.and_then(|r| r.deadline_ms)) {
+        let timeout = match (number(&names.timeout_ms)?, route.and_then(|r| r.deadline_ms)) {
             (Some(ms), _) => sr::Span::from_secs(ms.min(86_400_000.0) / 1e3),
             (None, Some(ms)) => sr::Span::from_secs(ms as f64 / 1e3),
             (None, None) => deadline,
         };
         let key = string(&names.key)?;
-        // It becomes a header where a runner of the platform gets the job.
+        // The key becomes a header when the job goes to a runner of the platform.
         let visible = |key: &&str| !key.is_empty() && key.bytes().all(|b| (0x20..0x7f).contains(&b));
         if key.is_some_and(|key| !visible(&key)) {
             return Err(format!("custom.{} must be visible ASCII, and not empty", names.key));
@@ -661,22 +670,22 @@
             id: jid.into(),
             class,
             tenant,
-            deadline: self.runtime.clock.now() + patience,
-            slots: figure(&names.slots)?.unwrap_or(1.0),
+            deadline: self.runtime.clock.now() + timeout,
+            slots: number(&names.slots)?.unwrap_or(1.0),
             memory: 0.0,
-            estimate: sr::Span::from_secs(figure(&names.cost_us)?.unwrap_or(0.0) / 1e6),
+            estimate: sr::Span::from_secs(number(&names.cost_us)?.unwrap_or(0.0) / 1e6),
             retry: custom[&names.retry].as_bool().unwrap_or(false),
             key: self.runtime.key_of(class, &job),
             job: Rc::new(job),
         })
     }
 
-    /// Hands a job in and waits for its final answer, or for the client to leave.
-    async fn push<S: AsyncRead + AsyncWrite + Unpin>(
+    /// Hands a job to the core and waits for its final answer or the client's disconnect.
+    async fn handle_push<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
-        wire: &mut Wire<S>,
+        transport: &mut Transport<S>,
         mut arrival: Arrival<Rc<Job>>,
-    ) -> Result<Result<(), String>, End> {
+    ) -> Result<Result<(), String>, Disconnect> {
         let (ticket, mut answer) = self.runtime.ticket(arrival.class);
         arrival.ticket = ticket;
         let _here = Here::new(&self.runtime, ticket);
@@ -685,50 +694,51 @@
             tokio::select! {
                 biased;
                 answer = &mut answer => break answer,
-                more = wire.fill() => more?,
+                more = transport.fill() => more?,
             }
         };
         Ok(match answer {
             Ok(Answer::Served(_)) => Ok(()),
             Ok(Answer::Refused(hold_off)) => Err(format!("REFUSED retry_after={:.3}", hold_off.secs())),
-            Ok(Answer::Failed(why)) => Err(format!("FAILED {why}")),
-            Ok(Answer::Unfit(why)) => Err(format!("MALFORMED PUSH: {why}")),
+            Ok(Answer::Failed(reason)) => Err(format!("FAILED {reason}")),
+            Ok(Answer::Unfit(reason)) => Err(format!("MALFORMED PUSH: {reason}")),
             Err(_) => Err("FAILED no answer was made".to_owned()),
         })
     }
 
     // ---- workers ----
 
-    async fn fetch<S: AsyncRead + AsyncWrite + Unpin>(
+    /// Parks a FETCH and writes the job that it is given, or no job after the wait.
+    async fn handle_fetch<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
-        wire: &mut Wire<S>,
+        transport: &mut Transport<S>,
         connection: u64,
         wid: &str,
         queues: &str,
-    ) -> Result<(), End> {
+    ) -> Result<(), Disconnect> {
         let mut queues: Vec<String> = queues.split_whitespace().map(str::to_owned).collect();
         if queues.is_empty() {
             queues.push("default".to_owned());
         }
-        let (hand_over, mut handed) = oneshot::channel();
-        self.park(wid, Parked { connection, queues, hand_over });
-        let end = tokio::time::Instant::now() + Duration::from_millis(self.gateway.fetch_wait_ms);
+        let (delivery, mut delivered) = oneshot::channel();
+        self.park_fetch(wid, ParkedFetch { connection, queues, delivery });
+        let end = tokio::time::Instant::now() + Duration::from_millis(self.config.fetch_wait_ms);
         let job = loop {
             tokio::select! {
                 biased;
-                job = &mut handed => break job.ok(),
-                more = wire.fill() => more?,
+                job = &mut delivered => break job.ok(),
+                more = transport.fill() => more?,
                 () = tokio::time::sleep_until(end) => {
                     if let Some(worker) = self.workers.borrow_mut().get_mut(wid) {
                         worker.parked.retain(|parked| parked.connection != connection);
                     }
-                    // Guards against a job handed over at the very end of the wait.
-                    break handed.try_recv().ok();
+                    // A job may have been delivered at the very end of the wait.
+                    break delivered.try_recv().ok();
                 }
             }
         };
-        let Some(Handed { jid, frame }) = job else { return Ok(wire.say("$-1\r\n").await?) };
-        wire.bulk(&frame).await?;
+        let Some(Delivery { jid, frame }) = job else { return Ok(transport.send("$-1\r\n").await?) };
+        transport.send_bulk(&frame).await?;
         let attempt = self.workers.borrow_mut().get_mut(wid).and_then(|worker| {
             let running = worker.running.get_mut(&jid)?;
             running.written = true;
@@ -740,17 +750,17 @@
         Ok(())
     }
 
-    /// Whether a connection is one of a worker's that is not given up.
-    fn holds(&self, wid: &str, connection: u64) -> bool {
+    /// Whether the worker is registered with this connection.
+    fn has_connection(&self, wid: &str, connection: u64) -> bool {
         self.workers.borrow().get(wid).is_some_and(|worker| worker.connections.contains(&connection))
     }
 
-    /// Notes a free slot, and gives it what waits for one.
-    fn park(&self, wid: &str, parked: Parked) {
+    /// Parks a FETCH, and hands it a queued job if there is one.
+    fn park_fetch(&self, wid: &str, parked: ParkedFetch) {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(wid) else { return };
-        // Guards against jobs drawn for a worker that has not said yet which queues it takes: it comes
-        // to the list with its first FETCH.
+        // A worker is listed from its first FETCH on. Before that its queues are unknown, and it might be
+        // chosen for jobs that it does not take.
         let first = worker.queues.is_empty();
         worker.queues.extend(parked.queues.iter().cloned());
         worker.parked.push_back(parked);
@@ -759,165 +769,167 @@
         }
         drop(workers);
         if first {
-            self.list(wid);
+            self.report_worker(wid);
         }
-        self.serve_parked(wid);
+        self.serve_parked_fetches(wid);
     }
 
-    /// Hands waiting jobs to parked FETCHes that take their queues, each FETCH's first queue first.
-    fn serve_parked(&self, wid: &str) {
+    /// Hands queued jobs to parked FETCHes that take their queues, each FETCH's first queue first.
+    fn serve_parked_fetches(&self, wid: &str) {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(wid).filter(|worker| !worker.quiet) else { return };
-        let mut at = 0;
-        while at < worker.parked.len() {
-            let (parked, waiting) = (&worker.parked[at], &worker.waiting);
-            let next = parked.queues.iter().find_map(|q| waiting.iter().position(|job| job.queue == *q));
+        let mut index = 0;
+        while index < worker.parked.len() {
+            let (parked, queued) = (&worker.parked[index], &worker.queued);
+            let next = parked.queues.iter().find_map(|q| queued.iter().position(|job| job.queue == *q));
             let Some(next) = next else {
-                at += 1;
+                index += 1;
                 continue;
             };
-            let Some(parked) = worker.parked.remove(at) else { return };
-            let Some(job) = worker.waiting.remove(next) else { return };
-            let Waiting { attempt, jid, frame, .. } = job;
-            let running = Running {
+            let Some(parked) = worker.parked.remove(index) else { return };
+            let Some(job) = worker.queued.remove(next) else { return };
+            let QueuedJob { attempt, jid, frame, .. } = job;
+            let running = RunningJob {
                 attempt: Some(attempt),
                 connection: parked.connection,
                 written: false,
-                since: Instant::now(),
+                started: Instant::now(),
             };
             worker.running.insert(jid.clone(), running);
             crate::figures::Figures::add(&self.runtime.figures.sends);
-            // If its connection has just gone, its end tells what becomes of the job.
-            let _ = parked.hand_over.send(Handed { jid, frame });
+            // Fails if the connection has just closed: `disconnect` ends the attempt then.
+            let _ = parked.delivery.send(Delivery { jid, frame });
         }
     }
 
-    /// A worker says how a job ended. One that is settled, or not its own, changes nothing.
-    fn settle(&self, wid: &str, text: &str, outcome: sr::Outcome) -> Result<(), String> {
+    /// Handles a worker's ACK or FAIL. One for a finished job, or for a job of another worker, changes nothing.
+    fn finish_job(&self, wid: &str, text: &str, outcome: sr::Outcome) -> Result<(), String> {
         let verb = if outcome == sr::Outcome::Ok { "ACK" } else { "FAIL" };
-        let mut told: Value = serde_json::from_str(text).map_err(|_| format!("MALFORMED {verb}: no JSON"))?;
-        let jid = told["jid"].as_str().ok_or_else(|| format!("MALFORMED {verb}: jid is missing"))?.to_owned();
+        let mut body: Value = serde_json::from_str(text).map_err(|_| format!("MALFORMED {verb}: no JSON"))?;
+        let jid = body["jid"].as_str().ok_or_else(|| format!("MALFORMED {verb}: jid is missing"))?.to_owned();
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(wid) else { return Ok(()) };
-        worker.beat = Instant::now();
+        worker.last_beat = Instant::now();
         let Some(running) = worker.running.remove(jid.as_str()) else {
             log::debug!("faktory: {verb} of {jid} by {wid}, which does not hold it");
             return Ok(());
         };
-        let took = running.since.elapsed().as_secs_f64();
-        worker.latency = Some(worker.latency.map_or(took, |before| before + 0.5 * (took - before)));
+        let took = running.started.elapsed().as_secs_f64();
+        worker.latency = Some(worker.latency.map_or(took, |average| average + 0.5 * (took - average)));
         let report = Some(worker.report());
         drop(workers);
         if let Some(attempt) = running.attempt {
-            let result = if outcome == sr::Outcome::Ok { told["result"].take() } else { Value::Null };
+            let result = if outcome == sr::Outcome::Ok { body["result"].take() } else { Value::Null };
             let ending = Ending { outcome, result: result_bytes(result), report };
             self.runtime.feed(Input::Ended(attempt, ending));
         }
         Ok(())
     }
 
-    fn beat(&self, wid: &str, text: &str) -> Result<(), String> {
+    /// Handles a worker's heartbeat, which may also make it quiet.
+    fn handle_beat(&self, wid: &str, text: &str) -> Result<(), String> {
         let beat: Value = serde_json::from_str(text).map_err(|_| "MALFORMED BEAT: no JSON".to_owned())?;
         if beat["wid"].as_str() != Some(wid) {
             return Err("MALFORMED BEAT: wid is not that of HELLO".to_owned());
         }
         let quiet = matches!(beat["current_state"].as_str(), Some("quiet" | "terminate"));
         let mut workers = self.workers.borrow_mut();
-        let Some(worker) = workers.get_mut(wid) else { return Err(given_up()) };
-        worker.beat = Instant::now();
+        let Some(worker) = workers.get_mut(wid) else { return Err(worker_removed()) };
+        worker.last_beat = Instant::now();
         if !quiet || worker.quiet {
             return Ok(());
         }
         worker.quiet = true;
-        // Handing out what waits here would be new work to a worker that drains.
-        let handed_back: Vec<_> = worker.waiting.drain(..).map(|job| job.attempt).collect();
+        // Handing out the queued jobs would be new work for a worker that drains.
+        let returned: Vec<_> = worker.queued.drain(..).map(|job| job.attempt).collect();
         drop(workers);
         log::info!("faktory: worker {wid} is quiet: it drains");
-        self.list(wid);
-        self.end(handed_back, sr::Outcome::Full);
+        self.report_worker(wid);
+        self.end_attempts(returned, sr::Outcome::Full);
         Ok(())
     }
 
-    fn end(&self, attempts: Vec<AttemptId>, outcome: sr::Outcome) {
+    fn end_attempts(&self, attempts: Vec<AttemptId>, outcome: sr::Outcome) {
         for attempt in attempts {
             self.runtime.feed(Input::Ended(attempt, Ending::bare(outcome)));
         }
     }
 
-    /// What a lost connection, or all of a worker's, takes with it.
-    fn lose(&self, wid: &str, connection: Option<u64>) {
+    /// Removes a connection of a worker, or all of them, and ends the attempts that depended on it.
+    fn disconnect(&self, wid: &str, connection: Option<u64>) {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(wid) else { return };
-        // Guards against the late end of a connection of a process of that wid given up before.
+        // A connection of an earlier process with this wid may end only now.
         if connection.is_some_and(|connection| !worker.connections.remove(&connection)) {
             return;
         }
-        let lost = |of: u64| connection.is_none_or(|connection| connection == of);
+        let lost = |number: u64| connection.is_none_or(|connection| connection == number);
         worker.parked.retain(|parked| !lost(parked.connection));
         if connection.is_none() {
             worker.connections.clear();
         }
         let gone = worker.connections.is_empty();
-        let (mut broken, mut unsent) = (Vec::new(), Vec::new());
+        let (mut interrupted, mut unsent) = (Vec::new(), Vec::new());
         worker.running.retain(|_, running| {
             if lost(running.connection) {
-                let list = if running.written { &mut broken } else { &mut unsent };
-                list.extend(running.attempt);
+                let attempts = if running.written { &mut interrupted } else { &mut unsent };
+                attempts.extend(running.attempt);
             }
             !lost(running.connection)
         });
         if gone {
-            unsent.extend(worker.waiting.drain(..).map(|job| job.attempt));
+            unsent.extend(worker.queued.drain(..).map(|job| job.attempt));
         }
         drop(workers);
         if gone {
             log::info!("faktory: worker {wid} has no connection left");
-            self.list(wid);
+            self.report_worker(wid);
         }
-        self.end(broken, sr::Outcome::Reset);
-        self.end(unsent, sr::Outcome::ConnectFailed);
+        self.end_attempts(interrupted, sr::Outcome::Reset);
+        self.end_attempts(unsent, sr::Outcome::ConnectFailed);
     }
 
+    /// Returns the reply to INFO.
     fn info(&self) -> String {
         let workers = self.workers.borrow();
-        let each = workers.iter().map(|(wid, worker)| {
+        let worker_infos = workers.iter().map(|(wid, worker)| {
             json!({
                 "wid": wid,
                 "connections": worker.connections.len(),
                 "quiet": worker.quiet,
                 "parked": worker.parked.len(),
-                "waiting": worker.waiting.len(),
+                "waiting": worker.queued.len(),
                 "running": worker.running.len(),
             })
         });
         let tally = self.runtime.tally();
         json!({
             "faktory": {
-                "total_enqueued": workers.values().map(|w| w.waiting.len()).sum::<usize>(),
+                "total_enqueued": workers.values().map(|w| w.queued.len()).sum::<usize>(),
                 "total_processed": tally.served,
                 "total_failures": tally.refused + tally.failed,
                 "total_queues": workers.values().flat_map(|w| &w.queues).collect::<HashSet<_>>().len(),
-                "workers": each.collect::<Vec<_>>(),
+                "workers": worker_infos.collect::<Vec<_>>(),
             },
             "server": {
                 "description": "sablerun",
                 "faktory_version": env!("CARGO_PKG_VERSION"),
                 "connections": self.connections.get(),
-                "command_count": self.commands.get(),
+                "command_count": self.command_count.get(),
             },
         })
         .to_string()
     }
 
-    /// The job as a worker gets it: as its client pushed it, or in a frame made for it.
-    fn frame(&self, id: &str, job: &Job) -> (String, Bytes) {
+    /// Returns a job's queue and frame: the frame as its client pushed it, or one made from the job.
+    fn job_frame(&self, id: &str, job: &Job) -> (String, Bytes) {
         if let (Some(queue), Some(original)) = (&job.queue, &job.original) {
             return (queue.clone(), original.clone());
         }
-        let route = self.gateway.route.iter().find(|route| route.class == job.class);
+        let route = self.config.route.iter().find(|route| route.class == job.class);
         let named = |name: Option<&String>| name.cloned().unwrap_or_else(|| job.class.clone());
         let queue = named(route.and_then(|route| route.queue.as_ref()));
-        let names = &self.gateway.custom;
+        let names = &self.config.custom;
         let mut custom = json!({"target": job.target});
         let texts = [(&names.class, Some(&job.class)), (&names.member, job.tenant.as_ref())];
         for (name, value) in texts.into_iter().chain([(&names.key, job.key.as_ref())]) {
@@ -941,23 +953,23 @@
 
     fn start(&self, attempt: AttemptId, id: Rc<str>, runner: &str, job: Rc<Job>, _: sr::Time) {
         let wid = runner.strip_prefix("wid:").unwrap_or(runner);
-        let (queue, frame) = self.frame(&id, &job);
+        let (queue, frame) = self.job_frame(&id, &job);
         let mut workers = self.workers.borrow_mut();
         let outcome = match workers.get_mut(wid) {
             None => sr::Outcome::ConnectFailed,
             Some(worker) if worker.connections.is_empty() => sr::Outcome::ConnectFailed,
             Some(worker) => {
-                // One attempt of a request at a time: one given up may still run there.
-                let there = worker.running.contains_key(&id) || worker.waiting.iter().any(|w| w.jid == id);
+                // A worker has one attempt of a request at a time, and a cancelled one may still run there.
+                let present = worker.running.contains_key(&id) || worker.queued.iter().any(|w| w.jid == id);
                 let parked = worker.parked.iter().any(|parked| parked.queues.contains(&queue));
-                let room = parked || worker.waiting.len() < self.gateway.queue_per_worker;
-                if worker.quiet || there || !room || !worker.queues.contains(&queue) {
+                let room = parked || worker.queued.len() < self.config.queue_per_worker;
+                if worker.quiet || present || !room || !worker.queues.contains(&queue) {
                     sr::Outcome::Full
                 } else {
-                    worker.waiting.push_back(Waiting { attempt, jid: id.clone(), queue, frame });
+                    worker.queued.push_back(QueuedJob { attempt, jid: id.clone(), queue, frame });
                     drop(workers);
                     self.attempts.borrow_mut().insert(attempt, (wid.to_owned(), id));
-                    self.serve_parked(wid);
+                    self.serve_parked_fetches(wid);
                     return;
                 }
             }
@@ -970,10 +982,10 @@
     fn give_up(&self, attempt: AttemptId) {
         let Some((wid, jid)) = self.attempts.borrow_mut().remove(&attempt) else { return };
         if let Some(worker) = self.workers.borrow_mut().get_mut(&wid) {
-            worker.waiting.retain(|job| job.attempt != attempt);
-            // The protocol has no word to call a fetched job back: its end will be passed over.
+            worker.queued.retain(|job| job.attempt != attempt);
+            // The protocol can't cancel a fetched job, so its result will be ignored.
             if let Some(running) = worker.running.get_mut(&jid) {
-                running.attempt = running.attempt.filter(|held| *held != attempt);
+                running.attempt = running.attempt.filter(|current| *current != attempt);
             }
         }
     }
@@ -983,18 +995,18 @@
     }
 
     fn probe(&self, runner: &str) {
-        // What a probe would ask for is known here already.
+        // The load is known here, so nothing is sent to the worker.
         let wid = runner.strip_prefix("wid:").unwrap_or(runner);
         let report = self.workers.borrow().get(wid).filter(|w| !w.connections.is_empty()).map(Worker::report);
         self.runtime.feed(Input::Probed { runner: runner.to_owned(), ok: report.is_some(), report });
     }
 
     fn release(&self, _: &str) {
-        // Connections are the workers' own.
+        // The connections were opened by the workers, which close them too.
     }
 }
 
-/// One conversation; its end takes with it what its connection held.
+/// The session of one connection. Dropping it ends the attempts that the connection holds.
 struct Session {
     front: Rc<Faktory>,
     number: u64,
@@ -1004,53 +1016,56 @@
 impl Drop for Session {
     fn drop(&mut self) {
         if let Some(wid) = &self.wid {
-            self.front.lose(wid, Some(self.number));
+            self.front.disconnect(wid, Some(self.number));
         }
     }
 }
 
-/// An accepted connection, counted.
-struct Counted(Rc<Faktory>);
+/// Counts an accepted connection until it is dropped.
+struct ConnectionCount(Rc<Faktory>);
 
-impl Drop for Counted {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
-        self.0.closed.notify_one();
+        self.0.connection_closed.notify_one();
     }
 }
 
-/// Lines in, replies out.
-struct Wire<S> {
+/// Reads the lines and writes the replies of a connection.
+struct Transport<S> {
     stream: S,
     buffer: BytesMut,
-    most: usize,
-    /// Time for a frame, from its first byte on.
-    pace: Duration,
+    max_frame_bytes: usize,
+    /// Time for a frame to arrive, from its first byte on.
+    frame_timeout: Duration,
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
-    /// Reads more; an end of the stream, or more than one frame can be, ends the conversation.
-    async fn fill(&mut self) -> Result<(), End> {
-        if self.buffer.len() > self.most {
-            return Err(End::Say(format!("MALFORMED a frame is longer than {} bytes", self.most)));
+impl<S: AsyncRead + AsyncWrite + Unpin> Transport<S> {
+    /// Reads more. The end of the stream, or more bytes than a frame may have, ends the session.
+    async fn fill(&mut self) -> Result<(), Disconnect> {
+        if self.buffer.len() > self.max_frame_bytes {
+            return Err(Disconnect::WithError(format!(
+                "MALFORMED a frame is longer than {} bytes",
+                self.max_frame_bytes
+            )));
         }
         match self.stream.read_buf(&mut self.buffer).await? {
-            0 => Err(End::Closed),
+            0 => Err(Disconnect::Closed),
             _ => Ok(()),
         }
     }
 
-    /// The next frame. A peer may rest between two, but not in the midst of one.
-    async fn line(&mut self) -> Result<String, End> {
+    /// Returns the next frame. A peer may pause between two frames, but not within one.
+    async fn read_line(&mut self) -> Result<String, Disconnect> {
         if self.buffer.is_empty() {
             self.fill().await?;
         }
-        let late = End::Say("MALFORMED a frame is too slow".to_owned());
-        tokio::time::timeout(self.pace, self.rest_of_line()).await.unwrap_or(Err(late))
+        let too_slow = Disconnect::WithError("MALFORMED a frame is too slow".to_owned());
+        tokio::time::timeout(self.frame_timeout, self.read_rest_of_line()).await.unwrap_or(Err(too_slow))
     }
 
-    /// Ends the writing and reads on to the peer's end.
-    async fn read_on(&mut self) -> io::Result<()> {
+    /// Shuts down the writing side and reads on until the peer closes.
+    async fn linger(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
         loop {
             self.buffer.clear();
@@ -1060,18 +1075,21 @@
         }
     }
 
-    async fn rest_of_line(&mut self) -> Result<String, End> {
+    async fn read_rest_of_line(&mut self) -> Result<String, Disconnect> {
         let mut searched = 0;
         loop {
             if let Some(at) = self.buffer[searched..].iter().position(|&b| b == b'\n') {
-                if searched + at > self.most {
-                    return Err(End::Say(format!("MALFORMED a frame is longer than {} bytes", self.most)));
+                if searched + at > self.max_frame_bytes {
+                    return Err(Disconnect::WithError(format!(
+                        "MALFORMED a frame is longer than {} bytes",
+                        self.max_frame_bytes
+                    )));
                 }
                 let line = self.buffer.split_to(searched + at);
                 self.buffer.advance(1);
                 let line = line.strip_suffix(b"\r").unwrap_or(&line);
-                let line =
-                    std::str::from_utf8(line).map_err(|_| End::Say("MALFORMED not UTF-8".to_owned()))?;
+                let line = std::str::from_utf8(line)
+                    .map_err(|_| Disconnect::WithError("MALFORMED not UTF-8".to_owned()))?;
                 return Ok(line.trim_end().to_owned());
             }
             searched = self.buffer.len();
@@ -1079,12 +1097,12 @@
         }
     }
 
-    async fn say(&mut self, text: &str) -> io::Result<()> {
+    async fn send(&mut self, text: &str) -> io::Result<()> {
         self.stream.write_all(text.as_bytes()).await?;
         self.stream.flush().await
     }
 
-    async fn bulk(&mut self, bytes: &[u8]) -> io::Result<()> {
+    async fn send_bulk(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut frame = BytesMut::with_capacity(bytes.len() + 16);
         frame.extend_from_slice(format!("${}\r\n", bytes.len()).as_bytes());
         frame.extend_from_slice(bytes);
@@ -1094,10 +1112,10 @@
     }
 }
 
-/// Rounds of the password's hash.
-const HASHES: u32 = 1735;
+/// Rounds of the password hash.
+const PASSWORD_HASH_ROUNDS: u32 = 1735;
 
-/// The hash that proves a password, after the protocol's page.
+/// Returns the hash that proves a password, as the Faktory protocol defines it.
 fn password_hash(password: &str, salt: &str, rounds: u32) -> String {
     let mut hash = Sha256::digest(format!("{password}{salt}").as_bytes());
     for _ in 1..rounds {
@@ -1106,18 +1124,18 @@
     hash.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Whether two texts are the same, in a time that does not tell where they differ.
-fn same(a: &[u8], b: &[u8]) -> bool {
+/// Whether two texts are equal, in a time that does not depend on where they differ.
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differ, (x, y)| differ | (x ^ y)) == 0
 }
 
-/// A salt that no other connection gets: the system's randomness, as the standard library hands it out.
-fn salt(number: u64, runtime: &Runtime) -> u64 {
+/// Returns a salt that no other connection gets, from the system's randomness through the standard library.
+fn new_salt(connection: u64, runtime: &Runtime) -> u64 {
     use std::hash::{BuildHasher, RandomState};
-    RandomState::new().hash_one((number, runtime.clock.now().0))
+    RandomState::new().hash_one((connection, runtime.clock.now().0))
 }
 
-fn given_up() -> String {
+fn worker_removed() -> String {
     "DENIED this worker was given up: say HELLO again".to_owned()
 }
 
