--- a/node/src/net/callbacks.rs
+++ b/node/src/net/callbacks.rs
@@ -1,6 +1,5 @@
-//! What runners tell of jobs, wherever the word comes in: the clients' address or, handed on by the other
-//! process of an upgrade, the door. It owns the form of a call-back and what each state means. It must
-//! never answer a runner, nor look for the job elsewhere.
+//! The format of runners' call-backs, and their conversion to inputs of the core. They arrive on the front's
+//! address or, forwarded by the other process of an upgrade, on the admin socket.
 
 use crate::core::{Ending, Input};
 use crate::net::runners::{load_object, result_bytes};
@@ -21,13 +20,13 @@
     load: Option<serde_json::Value>,
 }
 
-/// Lets the core know what a runner tells.
-pub fn apply(runtime: &Runtime, told: CallBack) {
-    let CallBack { id, from, state, .. } = told;
+/// Hands a call-back to the core.
+pub fn apply(runtime: &Runtime, call_back: CallBack) {
+    let CallBack { id, from, state, .. } = call_back;
     let outcome = match state.as_str() {
         "started" => return runtime.feed(Input::Started { id, from }),
         "running" => {
-            return runtime.feed(Input::Progress { id, from, share: told.share.unwrap_or(0.0) });
+            return runtime.feed(Input::Progress { id, from, share: call_back.share.unwrap_or(0.0) });
         }
         "done" => sr::Outcome::Ok,
         "failed" => sr::Outcome::Error,
@@ -35,7 +34,7 @@
         "lost" => sr::Outcome::Reset,
         other => return log::warn!("call-back with state {other:?} from {from}: passed over"),
     };
-    let report = told.load.and_then(|load| runtime.with_tables(|tables| load_object(tables, &load)));
-    let ending = Ending { outcome, result: result_bytes(told.result), report };
+    let report = call_back.load.and_then(|load| runtime.with_tables(|tables| load_object(tables, &load)));
+    let ending = Ending { outcome, result: result_bytes(call_back.result), report };
     runtime.feed(Input::Told { id, from, ending });
 }
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -1,6 +1,5 @@
-//! The link to a load digest: a stream of frames from the publisher that the operator's file names. It owns the
-//! connection, when it is opened anew, and the bytes that are not yet a frame; it must never judge a frame, nor
-//! tell the publisher anything but that it listens.
+//! The subscriber of a load digest: reads a stream of frames from the publisher that the operator's file names,
+//! and reconnects with a backoff. Frames are handed to the core unjudged.
 
 use crate::core::Input;
 use crate::net::runners::ConnectionPool;
@@ -17,63 +16,68 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Waits after a stream has ended, the first one and the longest, drawn evenly from nothing to that.
-const WAITS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
+/// The first and the longest wait before a reconnect. Each wait is drawn uniformly from zero to its bound.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 
-/// The link.
+/// The subscriber of a load digest.
 pub struct DigestSubscriber {
     runtime: Weak<Runtime>,
     client: Client,
-    at: SocketAddr,
-    silent: Duration,
-    anew: Notify,
+    address: SocketAddr,
+    silence_timeout: Duration,
+    /// Notified when frames are missing and the stream has to be opened again.
+    resync: Notify,
 }
 
 impl DigestSubscriber {
-    /// Follows the digest that the operator's file names, until the program ends.
+    /// Subscribes to the digest that the operator's file names, until the program ends.
     pub fn start(runtime: &Rc<Runtime>, section: &operator::Digest) {
         let pool = ConnectionPool::new(&runtime.limits);
         let digest = Rc::new(DigestSubscriber {
             runtime: Rc::downgrade(runtime),
             client: pool.client(&runtime.limits),
-            at: section.at,
-            silent: section.silent(),
-            anew: Notify::new(),
+            address: section.at,
+            silence_timeout: section.silent(),
+            resync: Notify::new(),
         });
         runtime.set_digests(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
-        actix_rt::spawn(async move { digest.keep_up().await });
+        actix_rt::spawn(async move { digest.run().await });
     }
 
-    async fn keep_up(&self) {
-        let mut wait = WAITS.0;
+    /// Reads the stream and reconnects when it ends; never returns.
+    async fn run(&self) {
+        let mut backoff = BACKOFF.0;
         loop {
-            let (mut told, began) = (false, tokio::time::Instant::now());
-            let why = tokio::select! {
-                ended = self.follow(&mut told) => ended.err().unwrap_or_else(|| "ended".to_owned()),
-                () = self.anew.notified() => "a gap".to_owned(),
+            let (mut received, began) = (false, tokio::time::Instant::now());
+            let reason = tokio::select! {
+                ended = self.read_stream(&mut received) => ended.err().unwrap_or_else(|| "ended".to_owned()),
+                () = self.resync.notified() => "a gap".to_owned(),
             };
-            log::warn!("digest at {}: {why}; probes go out until it is back", self.at);
-            // Whoever lasted is called back soon; all followers of one that is away must not come together.
-            let lasted = told && began.elapsed() > WAITS.1;
-            wait = if lasted { WAITS.0 } else { (wait * 2).min(WAITS.1) };
-            tokio::time::sleep(wait.mul_f64(fastrand::f64())).await;
+            log::warn!("digest at {}: {reason}; probes go out until it is back", self.address);
+            // After a long stream the backoff starts again. The random share keeps the subscribers of a
+            // publisher that was down from reconnecting all at once.
+            let lasted = received && began.elapsed() > BACKOFF.1;
+            backoff = if lasted { BACKOFF.0 } else { (backoff * 2).min(BACKOFF.1) };
+            tokio::time::sleep(backoff.mul_f64(fastrand::f64())).await;
         }
     }
 
-    async fn follow(&self, told: &mut bool) -> Result<(), String> {
-        let url = format!("http://{}/digest", self.at);
-        let request = self.client.get(url).address(self.at).no_decompress().force_close().send();
+    /// Reads one stream until it ends or falls silent; sets `received` with the first frame.
+    async fn read_stream(&self, received: &mut bool) -> Result<(), String> {
+        let url = format!("http://{}/digest", self.address);
+        let request = self.client.get(url).address(self.address).no_decompress().force_close().send();
         let silent = |_| "silent".to_owned();
-        let mut response = timeout(self.silent, request).await.map_err(silent)?.map_err(|e| e.to_string())?;
+        let response = timeout(self.silence_timeout, request).await.map_err(silent)?;
+        let mut response = response.map_err(|e| e.to_string())?;
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()));
         }
         let mut frames = Stream::default();
-        while let Some(bytes) = timeout(self.silent, response.next()).await.map_err(silent)? {
+        while let Some(bytes) = timeout(self.silence_timeout, response.next()).await.map_err(silent)? {
             frames.extend(&bytes.map_err(|e| e.to_string())?);
             while let Some(frame) = frames.pop().map_err(|e| e.0.to_owned())? {
                 let Some(runtime) = self.runtime.upgrade() else { return Ok(()) };
-                *told = true;
+                *received = true;
                 runtime.feed(Input::Digest(frame));
             }
         }
@@ -83,6 +87,6 @@
 
 impl Digests for DigestSubscriber {
     fn ask_whole(&self) {
-        self.anew.notify_one();
+        self.resync.notify_one();
     }
 }
--- a/node/src/net/hosts.rs
+++ b/node/src/net/hosts.rs
@@ -1,8 +1,8 @@
-//! The list of runners as discovery and the configuration write it. It owns that form, not what it means.
+//! The JSON format of the runner list in discovery's answers and in the configuration.
 
 use sablerun as sr;
 
-/// A list or a change of it, as discovery writes it.
+/// The whole runner list or a change of it.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
 pub struct Hosts {
     #[serde(default)]
@@ -13,7 +13,7 @@
     pub hosts: Vec<Host>,
 }
 
-/// One runner, as discovery writes it.
+/// One runner on the list.
 #[derive(Clone, Debug, serde::Deserialize)]
 pub struct Host {
     pub host: String,
@@ -32,14 +32,14 @@
 }
 
 impl Host {
-    /// How it stands by what its entry says.
+    /// Returns the runner's standing by its `health`.
     pub fn standing(&self) -> sr::Standing {
         match self.health.as_str() {
             "active" => sr::Standing::Ready,
             "leaving" => sr::Standing::Draining,
             "left" => sr::Standing::Gone,
             other => {
-                // Whatever it means, it is not a call for work.
+                // An unknown health is no sign that the runner wants work.
                 log::warn!("discovery says {other:?} of runner {}: taken for draining", self.host);
                 sr::Standing::Draining
             }
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The wires: each file speaks one of them, turning its messages into the core's inputs and the
-//! core's effects into messages. None of them may decide anything.
+//! The network protocols: each module converts the messages of one protocol to inputs of the core, and the
+//! core's effects to messages. Decisions are made in `core`.
 
 pub mod admin;
 pub mod callbacks;
--- a/node/src/net/peers.rs
+++ b/node/src/net/peers.rs
@@ -1,8 +1,7 @@
-//! The other process of an upgrade. While one process replaces another on a shared socket, a runner's
-//! call-back may reach either: whichever does not know the job hands the call-back on to the other's door.
-//! It owns the register of doors, one empty file a process under `$TMPDIR` (which both share) with the
-//! door's address in its name, and the call at a door. It must never decide what a call-back means, nor
-//! hand on what was handed on to it.
+//! Forwards call-backs between the processes of an upgrade. While one process replaces another on a shared
+//! socket, a runner's call-back may reach either: the one that does not know the job forwards it to the admin
+//! socket of the other. The registry of admin sockets is one empty file a process under `$TMPDIR`, which both
+//! share, with the address in its name. A forwarded call-back is never forwarded again.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,13 +11,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// What the names of the register's files begin with.
-const PREFIX: &str = "sablerun-door-";
+/// The prefix of the names of the registry's files.
+const FILE_PREFIX: &str = "sablerun-door-";
 
-/// What became of a call-back that was handed on.
+/// The result of forwarding a call-back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Forwarded {
-    /// A process that has the job took it.
+    /// A process that has the job accepted it.
     Accepted,
     /// There is no other process, or none that has the job.
     NoOwner,
@@ -26,73 +25,84 @@
     Unreachable,
 }
 
-/// The register, with this process's own entry.
+/// The registry of admin sockets, with this process's own entry.
 pub struct PeerRegistry {
     folder: PathBuf,
-    own: SocketAddr,
-    /// Call-backs being handed on at once: a door serves only so many callers.
-    seats: Semaphore,
-    /// Time for a call at a door, and for all tries.
-    call: Duration,
-    most: Duration,
+    own_address: SocketAddr,
+    /// Limits the call-backs forwarded at once: an admin socket serves a limited number of connections.
+    permits: Semaphore,
+    /// Timeout of one call at an admin socket.
+    call_timeout: Duration,
+    /// Timeout of all tries to forward a call-back.
+    total_timeout: Duration,
 }
 
 impl PeerRegistry {
-    /// Enters this process's door.
+    /// Registers this process's admin socket.
     ///
     /// # Errors
     ///
     /// The folder can't be written.
-    pub fn register(folder: PathBuf, own: SocketAddr, call: Duration) -> io::Result<PeerRegistry> {
-        std::fs::write(folder.join(format!("{PREFIX}{own}")), "")?;
-        Ok(PeerRegistry { folder, own, seats: Semaphore::new(8), call, most: call * 3 })
+    pub fn register(
+        folder: PathBuf,
+        own_address: SocketAddr,
+        call_timeout: Duration,
+    ) -> io::Result<PeerRegistry> {
+        std::fs::write(folder.join(format!("{FILE_PREFIX}{own_address}")), "")?;
+        Ok(PeerRegistry {
+            folder,
+            own_address,
+            permits: Semaphore::new(8),
+            call_timeout,
+            total_timeout: call_timeout * 3,
+        })
     }
 
-    /// The other doors, as the register names them.
+    /// Returns the addresses of the other registered admin sockets.
     fn others(&self) -> Vec<SocketAddr> {
         let Ok(files) = std::fs::read_dir(&self.folder) else { return Vec::new() };
         let names = files.filter_map(|file| file.ok()?.file_name().into_string().ok());
-        let doors = names.filter_map(|name| name.strip_prefix(PREFIX)?.parse().ok());
-        doors.filter(|door| *door != self.own).collect()
+        let addresses = names.filter_map(|name| name.strip_prefix(FILE_PREFIX)?.parse().ok());
+        addresses.filter(|address| *address != self.own_address).collect()
     }
 
-    /// Hands a call-back on to whichever other process has its job.
+    /// Forwards a call-back to the other process that has its job.
     pub async fn forward(&self, call_back: &str) -> Forwarded {
         let others = self.others();
         if others.is_empty() {
             return Forwarded::NoOwner;
         }
-        let Ok(_seat) = self.seats.acquire().await else { return Forwarded::Unreachable };
+        let Ok(_permit) = self.permits.acquire().await else { return Forwarded::Unreachable };
         let tries = async {
-            let mut waiting = others;
+            let mut pending = others;
             loop {
-                let mut left = Vec::new();
-                for door in waiting {
-                    match tokio::time::timeout(self.call, told(door, call_back)).await {
+                let mut unanswered = Vec::new();
+                for address in pending {
+                    match tokio::time::timeout(self.call_timeout, send_call_back(address, call_back)).await {
                         Ok(Ok(answer)) if answer.starts_with("OK") => return Forwarded::Accepted,
                         Ok(Ok(answer)) if !answer.starts_with("ERR busy") && !answer.is_empty() => {}
-                        // Nobody listens there: a process that was killed could not take itself off.
-                        Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => self.strike(door),
-                        _ => left.push(door),
+                        // Nothing listens there: a process that was killed could not remove its entry.
+                        Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => self.remove(address),
+                        _ => unanswered.push(address),
                     }
                 }
-                if left.is_empty() {
+                if unanswered.is_empty() {
                     return Forwarded::NoOwner;
                 }
-                waiting = left;
-                tokio::time::sleep(self.call / 10).await;
+                pending = unanswered;
+                tokio::time::sleep(self.call_timeout / 10).await;
             }
         };
-        tokio::time::timeout(self.most, tries).await.unwrap_or(Forwarded::Unreachable)
+        tokio::time::timeout(self.total_timeout, tries).await.unwrap_or(Forwarded::Unreachable)
     }
 
-    /// Takes this process's door off the register.
+    /// Removes this process's entry from the registry.
     pub fn unregister(&self) {
-        self.strike(self.own);
+        self.remove(self.own_address);
     }
 
-    fn strike(&self, door: SocketAddr) {
-        let _ = std::fs::remove_file(self.folder.join(format!("{PREFIX}{door}")));
+    fn remove(&self, address: SocketAddr) {
+        let _ = std::fs::remove_file(self.folder.join(format!("{FILE_PREFIX}{address}")));
     }
 }
 
@@ -102,9 +112,9 @@
     }
 }
 
-/// One call at a door: its whole answer.
-async fn told(door: SocketAddr, call_back: &str) -> io::Result<String> {
-    let mut stream = TcpStream::connect(door).await?;
+/// Sends a call-back to an admin socket and returns the whole answer.
+async fn send_call_back(address: SocketAddr, call_back: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("TOLD {call_back}\n").as_bytes()).await?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await?;
--- a/node/src/net/socket_activation.rs
+++ b/node/src/net/socket_activation.rs
@@ -1,30 +1,27 @@
-//! Socket activation: the clients' listening socket as the platform hands it down, on the descriptor
-//! that `$NODE_LISTEN_FD` names, so that a process that replaces another one serves on the same
-//! queue of connections without a moment in which nobody listens. It owns the one unsafe step of the
-//! program, taking a descriptor by its number, and the checks that make it sound. It must never bind,
-//! close or take any descriptor but the one named.
+//! Socket activation: takes over the clients' listening socket on the descriptor that `$NODE_LISTEN_FD` names,
+//! so that a process that replaces another serves the same listen queue without a gap. Holds the program's
+//! only unsafe code, which takes a descriptor by its number, and the checks that make it sound.
 
 use std::os::fd::{FromRawFd, RawFd};
 use tokio::net::TcpListener;
 
-/// What `$NODE_LISTEN_FD` holds, read and checked: a descriptor of this process that is a TCP socket
-/// that listens.
+/// Returns the listener on the descriptor that the value of `$NODE_LISTEN_FD` names.
 ///
 /// # Errors
 ///
-/// A line that names what is wrong: the text is no descriptor number, the descriptor is one of the
-/// standard streams or not open, or it is not a listening TCP socket.
+/// The text is no descriptor number, the descriptor is a standard stream or not open, or it is not a
+/// listening TCP socket.
 pub fn listener_from_fd(text: &str) -> Result<TcpListener, String> {
-    let wrong = |what: &str| format!("NODE_LISTEN_FD: {text:?}: {what}; unset it to bind $NODE_LISTEN");
-    let fd: RawFd = text.trim().parse().map_err(|_| wrong("is no descriptor number"))?;
+    let error = |what: &str| format!("NODE_LISTEN_FD: {text:?}: {what}; unset it to bind $NODE_LISTEN");
+    let fd: RawFd = text.trim().parse().map_err(|_| error("is no descriptor number"))?;
     if fd < 3 {
-        return Err(wrong("names a standard stream, not a socket"));
+        return Err(error("names a standard stream, not a socket"));
     }
-    // Guards against taking a number that nothing owns: that would make this process close whatever
-    // opens under it later. Where /proc is not there, the socket checks below still catch most.
-    let listed = std::path::Path::new("/proc/self/fd");
-    if listed.is_dir() && !listed.join(fd.to_string()).exists() {
-        return Err(wrong("is not open in this process"));
+    // Taking a descriptor that is not open would close whatever is opened under its number later. Without
+    // /proc, the socket checks below still catch most cases.
+    let open_descriptors = std::path::Path::new("/proc/self/fd");
+    if open_descriptors.is_dir() && !open_descriptors.join(fd.to_string()).exists() {
+        return Err(error("is not open in this process"));
     }
     #[allow(unsafe_code, reason = "the one way to take a descriptor by its number; checked above")]
     // SAFETY: the descriptor is open (checked above), handed to this process to own, and nothing else in
@@ -32,12 +29,12 @@
     let socket = unsafe { socket2::Socket::from_raw_fd(fd) };
     let checked = check(&socket);
     if let Err(e) = checked {
-        // Not ours to close, since it is no listener of ours.
+        // The descriptor is no listener and may have another owner, so it is not closed.
         std::mem::forget(socket);
-        return Err(wrong(&e));
+        return Err(error(&e));
     }
-    socket.set_nonblocking(true).map_err(|e| wrong(&format!("can't be made non-blocking: {e}")))?;
-    TcpListener::from_std(socket.into()).map_err(|e| wrong(&format!("can't be used: {e}")))
+    socket.set_nonblocking(true).map_err(|e| error(&format!("can't be made non-blocking: {e}")))?;
+    TcpListener::from_std(socket.into()).map_err(|e| error(&format!("can't be used: {e}")))
 }
 
 fn check(socket: &socket2::Socket) -> Result<(), String> {
