--- a/node/src/net/callbacks.rs
+++ b/node/src/net/callbacks.rs
@@ -1,7 +1,7 @@
 //! The format of runners' call-backs, and their conversion to inputs of the core. They arrive on the front's
 //! address or, forwarded by the other process of an upgrade, on the admin socket.
 
-use crate::core::{Ending, Input};
+use crate::core::{AttemptEnd, Input};
 use crate::net::runners::{load_object, result_bytes};
 use crate::runtime::Runtime;
 use sablerun as sr;
@@ -35,6 +35,6 @@
         other => return log::warn!("call-back with state {other:?} from {from}: passed over"),
     };
     let report = call_back.load.and_then(|load| runtime.with_tables(|tables| load_object(tables, &load)));
-    let ending = Ending { outcome, result: result_bytes(call_back.result), report };
-    runtime.feed(Input::Told { id, from, ending });
+    let end = AttemptEnd { outcome, result: result_bytes(call_back.result), report };
+    runtime.feed(Input::Finished { id, from, end });
 }
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -4,12 +4,12 @@
 use crate::core::Input;
 use crate::net::runners::ConnectionPool;
 use crate::operator;
-use crate::runtime::{Digests, Runtime};
+use crate::runtime::{DigestSource, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
 use sablerun as sr;
-use sablerun_digest::Stream;
+use sablerun_digest::FrameDecoder;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -40,7 +40,7 @@
             silence_timeout: section.silent(),
             resync: Notify::new(),
         });
-        runtime.set_digests(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
+        runtime.set_digest_source(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
         actix_rt::spawn(async move { digest.run().await });
     }
 
@@ -72,10 +72,10 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()));
         }
-        let mut frames = Stream::default();
+        let mut frames = FrameDecoder::default();
         while let Some(bytes) = timeout(self.silence_timeout, response.next()).await.map_err(silent)? {
             frames.extend(&bytes.map_err(|e| e.to_string())?);
-            while let Some(frame) = frames.pop().map_err(|e| e.0.to_owned())? {
+            while let Some(frame) = frames.next_frame().map_err(|e| e.0.to_owned())? {
                 let Some(runtime) = self.runtime.upgrade() else { return Ok(()) };
                 *received = true;
                 runtime.feed(Input::Digest(frame));
@@ -85,8 +85,8 @@
     }
 }
 
-impl Digests for DigestSubscriber {
-    fn ask_whole(&self) {
+impl DigestSource for DigestSubscriber {
+    fn fetch_full(&self) {
         self.resync.notify_one();
     }
 }
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -4,12 +4,12 @@
 //! asks for the next. A watch that is late, with its first list or later, is read on until its successor
 //! delivers something.
 
-use crate::core::{Input, Listed, Source};
+use crate::core::{Input, ListedRunner, Source};
 use crate::net::hosts::Hosts;
 use crate::net::json_stream::JsonStream;
 use crate::net::runners::{ConnectionPool, RunnerLink};
 use crate::net::watch::{FailureKind, GraceTimeout, WatchError};
-use crate::runtime::{Roster, Runtime};
+use crate::runtime::{RunnerListSource, Runtime};
 use awc::Client;
 use awc::http::StatusCode;
 use futures_util::StreamExt;
@@ -89,13 +89,13 @@
             let standing = host.standing();
             match host.dial.parse() {
                 Ok(address) => self.runners.set_address(&host.host, address),
-                Err(e) if standing == sr::Standing::Ready => {
+                Err(e) if standing == sr::WorkerState::Ready => {
                     log::warn!("discovery: address {:?} of runner {}: {e}", host.dial, host.host);
                     continue;
                 }
                 Err(_) => {}
             }
-            listed.push(Listed {
+            listed.push(ListedRunner {
                 name: host.host,
                 zone: host.site,
                 kind: host.class,
@@ -132,7 +132,7 @@
         let url = format!("http://{address}/discovery/hosts?stream=1&index={asked_at}");
         // On a connection of its own: one kept from an earlier call may be closed while this is written.
         let request = self.client.get(url).address(address).no_decompress().force_close().send();
-        let mut timeout = GraceTimeout::new(limits.list, limits.watch_late);
+        let mut timeout = GraceTimeout::new(limits.list_timeout, limits.late_watch_timeout);
         let report_late = |reason: &str, kind| {
             if self.watch_number.get() == number {
                 self.report_failure("watch", WatchError { reason: reason.to_owned(), kind });
@@ -142,7 +142,7 @@
         if response.status() != StatusCode::OK {
             return Err(format!("answered {}", response.status()).into());
         }
-        let (mut stream, mut any_list) = (JsonStream::new(limits.watch_line), false);
+        let (mut stream, mut any_list) = (JsonStream::new(limits.max_watch_line_bytes), false);
         loop {
             let next = timeout.wait(response.next(), || match any_list {
                 true => report_late("silent", FailureKind::Silent),
@@ -159,7 +159,7 @@
             // Bytes alone don't show that discovery is alive: a whole object does, and after the first one an
             // empty line, which comes every 2 s.
             if list || any_list && stream.take_blank_line() {
-                timeout = GraceTimeout::new(limits.watch_silence, limits.watch_late);
+                timeout = GraceTimeout::new(limits.watch_silence_timeout, limits.late_watch_timeout);
                 if self.address_changes.get() == address_changes {
                     self.confirm_up_to_date();
                 }
@@ -181,10 +181,11 @@
             if response.status() != StatusCode::OK {
                 return Err(format!("answered {}", response.status()).into());
             }
-            let body = response.body().limit(runtime.limits.watch_line).await;
+            let body = response.body().limit(runtime.limits.max_watch_line_bytes).await;
             body.map_err(|e| WatchError::from(e.to_string()))
         };
-        let body = tokio::time::timeout(runtime.limits.list, call).await.map_err(|_| "no answer")??;
+        let body =
+            tokio::time::timeout(runtime.limits.list_timeout, call).await.map_err(|_| "no answer")??;
         let hosts = serde_json::from_slice(&body).map_err(|e| format!("the list can't be read: {e}"))?;
         self.apply_answer(address_changes, asked_at, hosts);
         Ok(())
@@ -202,7 +203,7 @@
     }
 }
 
-impl Roster for DiscoveryClient {
+impl RunnerListSource for DiscoveryClient {
     fn subscribe(&self, at: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
         let address_changed = self.address.replace(Some(at)).is_some_and(|previous| previous != at);
@@ -237,7 +238,7 @@
         });
     }
 
-    fn told(&self) -> bool {
+    fn has_list(&self) -> bool {
         self.list_received.get()
     }
 }
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -3,11 +3,11 @@
 //! attempt goes to the worker that the balancer chose, whether or not that is parked in FETCH. Never chooses a
 //! worker, repeats a job or hands one to a quiet worker. An ACK or FAIL of a finished job changes nothing.
 
-use crate::core::{Answer, Arrival, AttemptId, Ending, Input, Listed, Source};
+use crate::core::{Answer, Arrival, AttemptEnd, AttemptId, Input, ListedRunner, Source};
 use crate::limits::Limits;
 use crate::net::runners::result_bytes;
 use crate::net::spiffe::{self, Identities, SpiffeId};
-use crate::runtime::{Here, Job, Link, Runtime};
+use crate::runtime::{ClientGuard, Job, Link, Runtime};
 use bytes::{Buf, Bytes, BytesMut};
 use sablerun as sr;
 use serde_json::{Value, json};
@@ -143,7 +143,7 @@
     ///
     /// Names the key at fault.
     pub fn check(&self, tables: &sablerun_settings::Tables) -> Result<(), String> {
-        let known = |names: &sablerun_settings::Names, name: &Option<String>, key: &str| match name {
+        let known = |names: &sablerun_settings::NameTable, name: &Option<String>, key: &str| match name {
             Some(name) if names.get(name).is_none() => Err(format!("{key}: {name:?} is not in the settings")),
             _ => Ok(()),
         };
@@ -322,7 +322,7 @@
             Err(e) => return log::error!("tls: {e}"),
         };
         loop {
-            while self.connections.get() >= self.runtime.limits.callers {
+            while self.connections.get() >= self.runtime.limits.max_faktory_connections {
                 self.connection_closed.notified().await;
             }
             let (stream, from) = match listener.accept().await {
@@ -342,7 +342,7 @@
                     None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
                         let handshake =
-                            tokio::time::timeout(front.runtime.limits.head, acceptor.accept(stream));
+                            tokio::time::timeout(front.runtime.limits.head_timeout, acceptor.accept(stream));
                         match handshake.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
                                 Ok(peer) => front.serve_connection(stream, peer).await,
@@ -361,7 +361,7 @@
     pub async fn run_maintenance(self: Rc<Self>) {
         let beat_timeout = Duration::from_secs_f64(self.config.beat_limit_s);
         let reload_interval = self.config.tls.as_ref().map_or(f64::MAX, |tls| tls.reload_s);
-        let sweep = self.runtime.limits.sweep.as_secs_f64();
+        let sweep = self.runtime.limits.sweep_interval.as_secs_f64();
         let interval = (beat_timeout.as_secs_f64() / 10.0).min(sweep).min(reload_interval);
         let mut last_reload = Instant::now();
         loop {
@@ -373,7 +373,7 @@
             drop(workers);
             // A cancelled job counts as running only for as long as its worker may reserve it.
             let expired = |job: &RunningJob| {
-                job.attempt.is_none() && job.started.elapsed() > self.runtime.limits.reserve
+                job.attempt.is_none() && job.started.elapsed() > self.runtime.limits.orphan_timeout
             };
             let mut workers = self.workers.borrow_mut();
             workers.values_mut().for_each(|worker| worker.running.retain(|_, job| !expired(job)));
@@ -430,7 +430,7 @@
     pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
         self.last_connection.set(self.last_connection.get() + 1);
         let number = self.last_connection.get();
-        let Limits { frame: max_frame_bytes, body_wait: frame_timeout, .. } = self.runtime.limits;
+        let Limits { max_frame_bytes, body_timeout: frame_timeout, .. } = self.runtime.limits;
         let mut transport = Transport { stream, buffer: BytesMut::new(), max_frame_bytes, frame_timeout };
         let mut session = Session { front: self.clone(), number, wid: None };
         let ended = self.handshake(&mut transport, &peer, &mut session).await;
@@ -442,10 +442,10 @@
         drop(session);
         if let Err(Disconnect::WithError(error)) = ended {
             let reply = format!("-ERR {error}\r\n");
-            let _ = tokio::time::timeout(self.runtime.limits.head, transport.send(&reply)).await;
+            let _ = tokio::time::timeout(self.runtime.limits.head_timeout, transport.send(&reply)).await;
             log::info!("faktory: connection of {} closed: {error}", peer.name);
             // Closing over unread input resets the connection, which may destroy the reply in transit.
-            let _ = tokio::time::timeout(self.runtime.limits.linger, transport.linger()).await;
+            let _ = tokio::time::timeout(self.runtime.limits.linger_timeout, transport.linger()).await;
         }
     }
 
@@ -462,7 +462,7 @@
             None => json!({"v": 2}),
         };
         transport.send(&format!("+HI {greeting}\r\n")).await?;
-        let line = tokio::time::timeout(self.runtime.limits.head, transport.read_line()).await;
+        let line = tokio::time::timeout(self.runtime.limits.head_timeout, transport.read_line()).await;
         let line = line.map_err(|_| Disconnect::WithError("MALFORMED no HELLO in time".to_owned()))??;
         let malformed = |what: &str| Disconnect::WithError(format!("MALFORMED HELLO: {what}"));
         let hello = line.strip_prefix("HELLO ").ok_or_else(|| malformed("it comes first"))?;
@@ -532,11 +532,11 @@
         let workers = self.workers.borrow();
         let Some(worker) = workers.get(wid) else { return };
         let standing = match worker {
-            worker if worker.connections.is_empty() => sr::Standing::Gone,
-            Worker { quiet: true, .. } => sr::Standing::Draining,
-            _ => sr::Standing::Ready,
+            worker if worker.connections.is_empty() => sr::WorkerState::Gone,
+            Worker { quiet: true, .. } => sr::WorkerState::Draining,
+            _ => sr::WorkerState::Ready,
         };
-        let listed = Listed {
+        let listed = ListedRunner {
             name: runner_name(wid),
             zone: worker.zone.clone(),
             kind: worker.kind.clone(),
@@ -546,7 +546,7 @@
             up_since: Some(worker.up_since),
         };
         drop(workers);
-        self.runtime.feed(Input::List(Source::Callers, sr::ListKind::Delta, vec![listed]));
+        self.runtime.feed(Input::List(Source::SelfRegistered, sr::ListKind::Delta, vec![listed]));
     }
 
     /// Serves commands until END or the end of the connection.
@@ -688,7 +688,7 @@
     ) -> Result<Result<(), String>, Disconnect> {
         let (ticket, mut answer) = self.runtime.ticket(arrival.class);
         arrival.ticket = ticket;
-        let _here = Here::new(&self.runtime, ticket);
+        let _here = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(arrival));
         let answer = loop {
             tokio::select! {
@@ -796,7 +796,7 @@
                 started: Instant::now(),
             };
             worker.running.insert(jid.clone(), running);
-            crate::figures::Figures::add(&self.runtime.figures.sends);
+            crate::metrics::Metrics::add(&self.runtime.metrics.sends);
             // Fails if the connection has just closed: `disconnect` ends the attempt then.
             let _ = parked.delivery.send(Delivery { jid, frame });
         }
@@ -820,8 +820,8 @@
         drop(workers);
         if let Some(attempt) = running.attempt {
             let result = if outcome == sr::Outcome::Ok { body["result"].take() } else { Value::Null };
-            let ending = Ending { outcome, result: result_bytes(result), report };
-            self.runtime.feed(Input::Ended(attempt, ending));
+            let end = AttemptEnd { outcome, result: result_bytes(result), report };
+            self.runtime.feed(Input::AttemptEnded(attempt, end));
         }
         Ok(())
     }
@@ -851,7 +851,7 @@
 
     fn end_attempts(&self, attempts: Vec<AttemptId>, outcome: sr::Outcome) {
         for attempt in attempts {
-            self.runtime.feed(Input::Ended(attempt, Ending::bare(outcome)));
+            self.runtime.feed(Input::AttemptEnded(attempt, AttemptEnd::without_report(outcome)));
         }
     }
 
@@ -947,7 +947,7 @@
 }
 
 impl Link for Faktory {
-    fn leads_to(&self, runner: &str) -> bool {
+    fn reaches(&self, runner: &str) -> bool {
         runner.strip_prefix("wid:").is_some_and(|wid| self.workers.borrow().contains_key(wid))
     }
 
@@ -976,10 +976,11 @@
         };
         let report = workers.get(wid).map(Worker::report);
         drop(workers);
-        self.runtime.feed(Input::Ended(attempt, Ending { report, ..Ending::bare(outcome) }));
+        self.runtime
+            .feed(Input::AttemptEnded(attempt, AttemptEnd { report, ..AttemptEnd::without_report(outcome) }));
     }
 
-    fn give_up(&self, attempt: AttemptId) {
+    fn cancel(&self, attempt: AttemptId) {
         let Some((wid, jid)) = self.attempts.borrow_mut().remove(&attempt) else { return };
         if let Some(worker) = self.workers.borrow_mut().get_mut(&wid) {
             worker.queued.retain(|job| job.attempt != attempt);
@@ -990,7 +991,7 @@
         }
     }
 
-    fn over(&self, attempt: AttemptId) {
+    fn forget(&self, attempt: AttemptId) {
         self.attempts.borrow_mut().remove(&attempt);
     }
 
@@ -1001,7 +1002,7 @@
         self.runtime.feed(Input::Probed { runner: runner.to_owned(), ok: report.is_some(), report });
     }
 
-    fn release(&self, _: &str) {
+    fn close_idle(&self, _: &str) {
         // The connections were opened by the workers, which close them too.
     }
 }
--- a/node/src/net/hosts.rs
+++ b/node/src/net/hosts.rs
@@ -33,15 +33,15 @@
 
 impl Host {
     /// Returns the runner's standing by its `health`.
-    pub fn standing(&self) -> sr::Standing {
+    pub fn standing(&self) -> sr::WorkerState {
         match self.health.as_str() {
-            "active" => sr::Standing::Ready,
-            "leaving" => sr::Standing::Draining,
-            "left" => sr::Standing::Gone,
+            "active" => sr::WorkerState::Ready,
+            "leaving" => sr::WorkerState::Draining,
+            "left" => sr::WorkerState::Gone,
             other => {
                 // An unknown health is no sign that the runner wants work.
                 log::warn!("discovery says {other:?} of runner {}: taken for draining", self.host);
-                sr::Standing::Draining
+                sr::WorkerState::Draining
             }
         }
     }
--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -96,7 +96,7 @@
             self.next_number.set(number + 1);
             let (front, handled) = (self.clone(), connection.clone());
             let task = actix_rt::spawn(async move {
-                let linger = front.runtime.limits.linger;
+                let linger = front.runtime.limits.linger_timeout;
                 let table_entry = TableEntry { front, number };
                 if let Err(e) = handling.await {
                     log::debug!("connection from {peer}: {e}");
@@ -112,7 +112,7 @@
         loop {
             self.make_room();
             // At the limit, new connections wait in the listen queue until one closes or is evicted.
-            while self.connections.borrow().len() >= limits.clients {
+            while self.connections.borrow().len() >= limits.max_client_connections {
                 let _ = tokio::time::timeout(limits.accept_pause, self.connection_closed.notified()).await;
                 self.make_room();
             }
--- a/node/src/net/platform/closing.rs
+++ b/node/src/net/platform/closing.rs
@@ -15,7 +15,8 @@
     pub(super) fn make_room(&self) {
         let limits = &self.runtime.limits;
         let connections = self.connections.borrow();
-        let wanted = (connections.len() + limits.clients / 16 + 1).saturating_sub(limits.clients);
+        let wanted = (connections.len() + limits.max_client_connections / 16 + 1)
+            .saturating_sub(limits.max_client_connections);
         let closing = connections.values().filter(|(c, _)| c.is_closing_or_evicted()).count();
         if wanted > closing {
             let mut evictable: Vec<_> =
@@ -26,10 +27,10 @@
                 .take(wanted - closing)
                 .for_each(|(_, connection)| connection.request_close(CloseMode::Immediate));
         }
-        if connections.len() >= limits.clients {
+        if connections.len() >= limits.max_client_connections {
             // The last response was written a while ago and the client has not closed its side.
             let lingering = |(c, _): &&(Rc<Connection>, AbortHandle)| {
-                c.is_closing() && c.last_activity.get().elapsed() > limits.flush
+                c.is_closing() && c.last_activity.get().elapsed() > limits.flush_timeout
             };
             if let Some((_, task)) = connections.values().find(lingering) {
                 task.abort();
@@ -43,7 +44,7 @@
     pub(super) fn near_limit(&self) -> bool {
         let used = |(c, _): &&(Rc<Connection>, AbortHandle)| c.traffic.get() != Traffic::Nothing;
         let used = self.connections.borrow().values().filter(used).count();
-        used * 10 >= self.runtime.limits.clients * 9
+        used * 10 >= self.runtime.limits.max_client_connections * 9
     }
 
     /// Shuts down gracefully. On a shared socket the successor accepts new connections at once. Otherwise
@@ -62,7 +63,7 @@
             match shutdown.step(&observed) {
                 Phase::Draining if before == Phase::Serving => {
                     log::info!("lets clients go: {}", self.runtime.summary());
-                    self.runtime.stop();
+                    self.runtime.begin_shutdown();
                     // Not runners' connections: the jobs in progress still need their call-backs.
                     self.request_close_of(|c| c.traffic.get() == Traffic::Requests, CloseMode::Graceful);
                 }
@@ -79,7 +80,7 @@
                 _ => {}
             }
             let pause = shutdown.next_check().saturating_sub(started.elapsed());
-            tokio::time::sleep(pause.max(self.runtime.limits.look)).await;
+            tokio::time::sleep(pause.max(self.runtime.limits.shutdown_poll_interval)).await;
         }
     }
 
--- a/node/src/net/platform/connection.rs
+++ b/node/src/net/platform/connection.rs
@@ -76,10 +76,10 @@
             _ if self.is_closing_or_evicted() => return None,
             (Stage::HeadRead | Stage::ReadingBody(_) | Stage::AwaitingResponse, _) => return None,
             // Its client does not read the response.
-            (Stage::WritingResponse, _) => (0, limits.head),
-            (_, Traffic::Nothing) => (1, limits.silent),
-            (_, Traffic::Requests) => (2, limits.sweep),
-            (_, Traffic::CallBacks) => (3, limits.sweep),
+            (Stage::WritingResponse, _) => (0, limits.head_timeout),
+            (_, Traffic::Nothing) => (1, limits.evict_silent_after),
+            (_, Traffic::Requests) => (2, limits.sweep_interval),
+            (_, Traffic::CallBacks) => (3, limits.sweep_interval),
         };
         (idle > min_idle).then_some((rank, last_activity))
     }
--- a/node/src/net/platform/head.rs
+++ b/node/src/net/platform/head.rs
@@ -35,7 +35,7 @@
         let class_name = required("x-priority-class")?;
         // Only jobs of a keyed class must carry a key: a job that must never run twice may come without one.
         let number_and_keyed =
-            |number, class: &sr::Class| (number, matches!(class.effect, sr::Effect::Keyed(_)));
+            |number, class: &sr::Class| (number, matches!(class.idempotency, sr::Idempotency::Keyed(_)));
         let class = runtime.with_class(class_name, number_and_keyed);
         let (class, keyed) = class.ok_or("x-priority-class names no known class")?;
         let tenant_name = optional("x-tenant-id")?;
--- a/node/src/net/platform/stream.rs
+++ b/node/src/net/platform/stream.rs
@@ -55,8 +55,8 @@
             connection,
             buffered: BytesMut::new(),
             peer_closed: false,
-            max_head_bytes: limits.head_bytes,
-            head_timeout: limits.head,
+            max_head_bytes: limits.max_head_bytes,
+            head_timeout: limits.head_timeout,
             keep_alive: limits.keep_alive,
             timer: None,
         }
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -9,7 +9,7 @@
 pub use pool::ConnectionPool;
 pub use report::{load_object, result_bytes};
 
-use crate::core::{AttemptId, Ending, Input};
+use crate::core::{AttemptEnd, AttemptId, Input};
 use crate::runtime::{Job, Link, Runtime};
 use attempt::AttemptResult;
 use awc::Client;
@@ -61,7 +61,7 @@
         let pool = ConnectionPool::new(&runtime.limits);
         let client = pool.client(&runtime.limits);
         let swept = pool.clone();
-        let interval = runtime.limits.sweep;
+        let interval = runtime.limits.sweep_interval;
         actix_rt::spawn(async move {
             loop {
                 tokio::time::sleep(interval).await;
@@ -104,7 +104,7 @@
         let mut response = request.send().await.ok()?;
         let header_report = self.header_report(response.headers());
         let runtime = self.runtime.upgrade()?;
-        let body = response.body().limit(runtime.limits.body).await.ok()?;
+        let body = response.body().limit(runtime.limits.max_body_bytes).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
@@ -137,13 +137,14 @@
                 for _ in 0..MAX_CANCEL_TRIES {
                     let request = this.client.delete(&url).address(address).no_decompress();
                     if let Ok(mut response) = request.send().await {
-                        confirmation = response.body().limit(runtime.limits.body).await.ok();
+                        confirmation = response.body().limit(runtime.limits.max_body_bytes).await.ok();
                         break;
                     }
                 }
                 confirmation
             };
-            if !matches!(tokio::time::timeout(runtime.limits.give_up, cancellation).await, Ok(Some(_))) {
+            if !matches!(tokio::time::timeout(runtime.limits.cancel_timeout, cancellation).await, Ok(Some(_)))
+            {
                 log::debug!("runner {} did not confirm that it gives {} up", key.1, key.0);
             }
             this.cancellations.borrow_mut().remove(&key);
@@ -153,7 +154,7 @@
 }
 
 impl Link for RunnerLink {
-    fn leads_to(&self, runner: &str) -> bool {
+    fn reaches(&self, runner: &str) -> bool {
         self.addresses.borrow().contains_key(runner)
     }
 
@@ -177,7 +178,7 @@
             // With any other outcome the request was written whole, or may have been.
             let unsent = [sr::Outcome::ConnectFailed, sr::Outcome::Moot];
             if !matches!(&result, AttemptResult::Ended(e) if unsent.contains(&e.outcome)) {
-                crate::figures::Figures::add(&runtime.figures.sends);
+                crate::metrics::Metrics::add(&runtime.metrics.sends);
             }
             match result {
                 AttemptResult::Accepted => {
@@ -185,10 +186,11 @@
                     task_accepted.set(true);
                 }
                 AttemptResult::Unusable => runtime.feed(Input::Unusable(attempt)),
-                AttemptResult::Ended(ending) => runtime.feed(Input::Ended(attempt, ending)),
+                AttemptResult::Ended(end) => runtime.feed(Input::AttemptEnded(attempt, end)),
                 AttemptResult::Unreadable => {
                     this.cancel_job(key.0, key.1, None);
-                    runtime.feed(Input::Ended(attempt, Ending::bare(sr::Outcome::Reset)));
+                    runtime
+                        .feed(Input::AttemptEnded(attempt, AttemptEnd::without_report(sr::Outcome::Reset)));
                 }
             }
         }));
@@ -196,7 +198,7 @@
         self.attempts.borrow_mut().insert(attempt, open);
     }
 
-    fn give_up(&self, attempt: AttemptId) {
+    fn cancel(&self, attempt: AttemptId) {
         let Some(open) = self.attempts.borrow_mut().remove(&attempt) else { return };
         if open.accepted.get() {
             self.cancel_job(open.id, open.runner, None);
@@ -209,7 +211,7 @@
         }
     }
 
-    fn over(&self, attempt: AttemptId) {
+    fn forget(&self, attempt: AttemptId) {
         // A call-back may arrive before the 202: the task that reads the 202 ends by itself.
         self.attempts.borrow_mut().remove(&attempt);
     }
@@ -219,13 +221,13 @@
         let Some(&address) = self.addresses.borrow().get(runner) else { return };
         let runner = runner.to_owned();
         actix_rt::spawn(async move {
-            let fetched = tokio::time::timeout(runtime.limits.probe, this.fetch_load(address)).await;
+            let fetched = tokio::time::timeout(runtime.limits.probe_timeout, this.fetch_load(address)).await;
             let load = fetched.ok().flatten();
             runtime.feed(Input::Probed { runner, ok: load.is_some(), report: load.flatten() });
         });
     }
 
-    fn release(&self, runner: &str) {
+    fn close_idle(&self, runner: &str) {
         if let Some(&runner_address) = self.addresses.borrow().get(runner) {
             self.pool.close_idle(Duration::ZERO, |address| address == runner_address);
         }
--- a/node/src/net/runners/attempt.rs
+++ b/node/src/net/runners/attempt.rs
@@ -3,7 +3,7 @@
 
 use super::RunnerLink;
 use super::pool::SendPermit;
-use crate::core::Ending;
+use crate::core::AttemptEnd;
 use crate::runtime::Job;
 use actix_http::error::ParseError;
 use awc::error::{ConnectError, SendRequestError};
@@ -19,7 +19,7 @@
     Accepted,
     /// The request itself is at fault.
     Unusable,
-    Ended(Ending),
+    Ended(AttemptEnd),
     /// The response makes no sense: the runner may have the job.
     Unreadable,
 }
@@ -56,7 +56,7 @@
             Err(e) => {
                 log::debug!("attempt {id} at {address}: {e}");
                 return match permit.denied() {
-                    true => AttemptResult::Ended(Ending::bare(sr::Outcome::Moot)),
+                    true => AttemptResult::Ended(AttemptEnd::without_report(sr::Outcome::Moot)),
                     false => result_of_error(&e),
                 };
             }
@@ -68,7 +68,7 @@
         }
         let (status, report) = (response.status(), self.header_report(response.headers()));
         let not_processed = response.headers().get("X-Not-Processed").is_some_and(|v| v.as_bytes() == b"1");
-        let ended = |outcome| AttemptResult::Ended(Ending { outcome, result: Bytes::new(), report });
+        let ended = |outcome| AttemptResult::Ended(AttemptEnd { outcome, result: Bytes::new(), report });
         let result = match status {
             StatusCode::ACCEPTED => AttemptResult::Accepted,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
@@ -89,7 +89,7 @@
         };
         // The body is not used, but a connection with an unread body can't be reused.
         if let Some(runtime) = self.runtime.upgrade() {
-            let (timeout, max_bytes) = (runtime.limits.give_up, runtime.limits.body);
+            let (timeout, max_bytes) = (runtime.limits.cancel_timeout, runtime.limits.max_body_bytes);
             actix_rt::spawn(async move {
                 let _ = tokio::time::timeout(timeout, response.body().limit(max_bytes)).await;
             });
@@ -113,5 +113,5 @@
         }
         _ => sr::Outcome::Reset,
     };
-    AttemptResult::Ended(Ending::bare(outcome))
+    AttemptResult::Ended(AttemptEnd::without_report(outcome))
 }
--- a/node/src/net/runners/pool.rs
+++ b/node/src/net/runners/pool.rs
@@ -149,9 +149,9 @@
     pub fn new(limits: &Limits) -> ConnectionPool {
         ConnectionPool {
             connections: Rc::default(),
-            max_connections: limits.runners,
-            idle_timeout: limits.idle,
-            min_idle: limits.resting,
+            max_connections: limits.max_runner_connections,
+            idle_timeout: limits.idle_timeout,
+            min_idle: limits.evict_idle_after,
         }
     }
 
@@ -159,10 +159,10 @@
     pub fn client(&self, limits: &Limits) -> Client {
         let connector = Connector::new()
             .connector(self.clone())
-            .timeout(limits.connect)
-            .conn_keep_alive(limits.idle)
-            .conn_lifetime(limits.lifetime)
-            .limit(limits.runners);
+            .timeout(limits.connect_timeout)
+            .conn_keep_alive(limits.idle_timeout)
+            .conn_lifetime(limits.max_connection_age)
+            .limit(limits.max_runner_connections);
         Client::builder()
             .connector(connector)
             .disable_timeout()
