--- a/node/src/net/admin.rs
+++ b/node/src/net/admin.rs
@@ -1,9 +1,7 @@
-//! The operators' door: a line protocol on the address that `admin_addr` (or `$NODE_ADMIN_ADDR`) names.
-//! One call a connection, one answer that begins with `OK` or `ERR`. It runs on a thread of its own, so
-//! that an answer is due within its time however busy the serving thread is: figures are read from
-//! counters, and only what changes the dispatcher's state goes to the serving thread, as an input of the
-//! core. It owns the listener, the reading of a call within its size and time, and the words of the
-//! answers. It must never decide anything itself, nor wait on a caller longer than a call may take.
+//! The admin socket: a line protocol on the address that `admin_addr` (or `$NODE_ADMIN_ADDR`) names, with one
+//! command a connection and one answer that begins with `OK` or `ERR`. Runs on a thread of its own, so that it
+//! answers in time however busy the serving thread is: metrics are read from counters, and only commands that
+//! change the dispatcher's state go to the serving thread.
 
 use crate::metrics::Metrics;
 use std::io;
@@ -15,42 +13,42 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
-/// A call at the door.
+/// A command on the admin socket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Whether this process is ready to serve.
     Ready,
-    /// The figures, a line each, then `END`.
+    /// The metrics, one a line, then `END`.
     Stats,
-    /// Nothing new to this runner, until it is put back.
+    /// Sends no new work to this runner until it is enabled again.
     Disable(String),
-    /// The runner takes work again.
+    /// Sends work to this runner again.
     Enable(String),
-    /// A runner's call-back that reached the other process of an upgrade, as JSON.
+    /// A runner's call-back in JSON, forwarded by the other process of an upgrade.
     CallBack(String),
 }
 
-/// Sizes and times of the door.
+/// Sizes and times of the admin socket.
 #[derive(Clone, Copy, Debug)]
 pub struct AdminLimits {
-    /// Longest call, its newline included, in bytes.
+    /// Longest command line with its newline, in bytes.
     pub max_line_bytes: usize,
-    /// Longest call that hands a call-back on: a body of the protocol and as much again for its escapes.
+    /// Longest line with a forwarded call-back: the largest body and as much again for escapes, in bytes.
     pub max_call_back_bytes: usize,
-    /// Time for a whole call from the connection's start; then a half call is answered with `ERR`.
+    /// Time for a whole command from the connection's start; an incomplete one is answered with `ERR` then.
     pub read_timeout: Duration,
-    /// Time for the serving thread to carry out a call.
+    /// Time for the serving thread to execute a command.
     pub execute_timeout: Duration,
-    /// Time for an answer to be written.
+    /// Time for the answer to be written.
     pub write_timeout: Duration,
-    /// Connections served at once; the others are answered `ERR busy` at once.
+    /// Connections served at once; others are answered `ERR busy` immediately.
     pub max_connections: usize,
 }
 
 impl Default for AdminLimits {
     fn default() -> AdminLimits {
-        // Every answer is due within 1 s of the call: a call gets 0.9 s to arrive whole, and a change
-        // 0.8 s on the serving thread.
+        // Every answer is due within 1 s of the command: a command gets 0.9 s to arrive whole, and a state
+        // change 0.8 s on the serving thread.
         AdminLimits {
             max_line_bytes: 256,
             max_call_back_bytes: 128 * 1024,
@@ -62,26 +60,26 @@
     }
 }
 
-/// What the serving thread is asked to do.
+/// A state change for the serving thread to execute.
 #[derive(Debug)]
 pub enum Operation {
-    /// Take a runner out (`out`) or put it back.
+    /// Disables or enables a runner.
     SetDisabled { runner: String, disabled: bool },
-    /// Take a runner's call-back on a job of this process.
+    /// Applies a runner's call-back about a job of this process.
     CallBack(String),
 }
 
-/// A call for the serving thread, and where its result goes.
+/// An operation and the channel for its result.
 pub struct OperationRequest {
     pub operation: Operation,
     pub reply: oneshot::Sender<Result<(), String>>,
 }
 
-/// Reads a call.
+/// Parses a command line.
 ///
 /// # Errors
 ///
-/// The words of an `ERR` answer that say what is wrong with it.
+/// The text of the `ERR` answer.
 pub fn parse(line: &[u8]) -> Result<Command, String> {
     let line = std::str::from_utf8(line).map_err(|_| "the call is not UTF-8".to_owned())?;
     if let Some(call_back) = line.strip_prefix("TOLD ") {
@@ -93,54 +91,54 @@
     if words.next().is_some() {
         return Err(format!("{verb}: too many words"));
     }
-    let runner = |make: fn(String) -> Command| match id {
-        Some(id) => Ok(make(id.to_owned())),
+    let with_runner = |command: fn(String) -> Command| match id {
+        Some(id) => Ok(command(id.to_owned())),
         None => Err(format!("{verb}: which runner? say {verb} ID")),
     };
     match (verb.to_ascii_uppercase().as_str(), id) {
         ("READY", None) => Ok(Command::Ready),
         ("STATS", None) => Ok(Command::Stats),
         ("READY" | "STATS", Some(_)) => Err(format!("{verb} takes no argument")),
-        ("DISABLE", _) => runner(Command::Disable),
-        ("ENABLE", _) => runner(Command::Enable),
+        ("DISABLE", _) => with_runner(Command::Disable),
+        ("ENABLE", _) => with_runner(Command::Enable),
         _ => Err(format!("unknown call {verb:?}: say READY, STATS, DISABLE ID or ENABLE ID")),
     }
 }
 
-/// Binds the door's address; before anything serves, so that a wrong address stops the start.
-pub fn bind(at: SocketAddr) -> io::Result<std::net::TcpListener> {
-    let listener = std::net::TcpListener::bind(at)?;
+/// Binds the admin socket's address. Called before anything serves, so that a wrong address stops the start.
+pub fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
+    let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Serves the door on a thread of its own, until the process ends.
+/// Serves the admin socket on a thread of its own, until the process ends.
 pub fn start(
     listener: std::net::TcpListener,
-    figures: Arc<Metrics>,
-    asks: mpsc::UnboundedSender<OperationRequest>,
+    metrics: Arc<Metrics>,
+    operations: mpsc::UnboundedSender<OperationRequest>,
     limits: AdminLimits,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     std::thread::Builder::new().name("door".to_owned()).spawn(move || {
         runtime.block_on(async move {
             let Ok(listener) = TcpListener::from_std(listener) else { return };
-            let room = Arc::new(Semaphore::new(limits.max_connections));
+            let permits = Arc::new(Semaphore::new(limits.max_connections));
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    // Out of descriptors, most likely: later there may be one.
+                    // Most likely out of descriptors: try again when one may be free.
                     tokio::time::sleep(Duration::from_millis(20)).await;
                     continue;
                 };
-                let (figures, asks, room) = (figures.clone(), asks.clone(), room.clone());
+                let (metrics, operations, permits) = (metrics.clone(), operations.clone(), permits.clone());
                 tokio::spawn(async move {
-                    let Ok(_seat) = room.try_acquire() else {
+                    let Ok(_permit) = permits.try_acquire() else {
                         return answer(stream, "ERR busy: too many calls at once, call again\n", limits)
                             .await;
                     };
-                    let reply = match read_call(&stream, limits).await {
-                        Ok(call) => execute(call, &figures, &asks, limits).await,
-                        Err(why) => format!("ERR {why}\n"),
+                    let reply = match read_command(&stream, limits).await {
+                        Ok(command) => execute(command, &metrics, &operations, limits).await,
+                        Err(reason) => format!("ERR {reason}\n"),
                     };
                     answer(stream, &reply, limits).await;
                 });
@@ -150,9 +148,8 @@
     Ok(())
 }
 
-/// Reads one line, within the size and the time of a call. A caller that ends its side after a call
-/// without a newline has said it whole.
-async fn read_call(stream: &TcpStream, limits: AdminLimits) -> Result<Command, String> {
+/// Reads one command within its limits of size and time. A newline or the end of the stream ends the command.
+async fn read_command(stream: &TcpStream, limits: AdminLimits) -> Result<Command, String> {
     let mut line = Vec::with_capacity(64);
     let deadline = tokio::time::Instant::now() + limits.read_timeout;
     loop {
@@ -178,42 +175,43 @@
             Ok(Ok(None)) => continue,
             Ok(Ok(Some(got))) => got,
         };
-        let ended = got == 0;
+        let end_of_stream = got == 0;
         let chunk = &chunk[..got];
-        let end = chunk.iter().position(|b| *b == b'\n');
-        line.extend_from_slice(&chunk[..end.map_or(chunk.len(), |at| at + 1)]);
-        let most =
+        let newline = chunk.iter().position(|b| *b == b'\n');
+        line.extend_from_slice(&chunk[..newline.map_or(chunk.len(), |at| at + 1)]);
+        let max_bytes =
             if line.starts_with(b"TOLD ") { limits.max_call_back_bytes } else { limits.max_line_bytes };
-        if line.len() > most {
-            return Err(format!("the call is longer than {most} bytes"));
+        if line.len() > max_bytes {
+            return Err(format!("the call is longer than {max_bytes} bytes"));
         }
-        if end.is_some() || ended {
+        if newline.is_some() || end_of_stream {
             return parse(&line);
         }
     }
 }
 
+/// Executes a command and returns its whole answer.
 pub async fn execute(
-    call: Command,
-    figures: &Metrics,
-    asks: &mpsc::UnboundedSender<OperationRequest>,
+    command: Command,
+    metrics: &Metrics,
+    operations: &mpsc::UnboundedSender<OperationRequest>,
     limits: AdminLimits,
 ) -> String {
-    let operation = match call {
-        Command::Ready if figures.ready.load(Relaxed) => return "OK ready\n".to_owned(),
+    let operation = match command {
+        Command::Ready if metrics.ready.load(Relaxed) => return "OK ready\n".to_owned(),
         Command::Ready => return "ERR not ready: starting or ending\n".to_owned(),
-        Command::Stats => return format!("OK\n{}END\n", figures.render()),
+        Command::Stats => return format!("OK\n{}END\n", metrics.render()),
         Command::Disable(runner) => Operation::SetDisabled { runner, disabled: true },
         Command::Enable(runner) => Operation::SetDisabled { runner, disabled: false },
         Command::CallBack(call_back) => Operation::CallBack(call_back),
     };
-    let (reply, told) = oneshot::channel();
-    if asks.send(OperationRequest { operation, reply }).is_err() {
+    let (reply, result) = oneshot::channel();
+    if operations.send(OperationRequest { operation, reply }).is_err() {
         return "ERR the dispatcher is ending\n".to_owned();
     }
-    match tokio::time::timeout(limits.execute_timeout, told).await {
+    match tokio::time::timeout(limits.execute_timeout, result).await {
         Ok(Ok(Ok(()))) => "OK\n".to_owned(),
-        Ok(Ok(Err(why))) => format!("ERR {why}\n"),
+        Ok(Ok(Err(reason))) => format!("ERR {reason}\n"),
         Ok(Err(_)) => "ERR the dispatcher is ending\n".to_owned(),
         Err(_) => {
             format!("ERR not carried out within {} ms: call again\n", limits.execute_timeout.as_millis())
@@ -221,13 +219,13 @@
     }
 }
 
-/// Writes the answer and closes; a caller that does not read it in time is let go.
+/// Writes the answer and closes the connection, also if the caller does not read the answer in time.
 async fn answer(mut stream: TcpStream, reply: &str, limits: AdminLimits) {
     let written = tokio::time::timeout(limits.write_timeout, async {
         stream.write_all(reply.as_bytes()).await?;
         stream.shutdown().await
     });
     let _ = written.await;
-    // What the caller sent beyond its call is dropped unread; a reset then is no loss.
+    // What the caller sent after its command is dropped unread; a reset after this wait does no harm.
     let _ = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut [0u8; 64])).await;
 }
--- a/node/src/net/spiffe.rs
+++ b/node/src/net/spiffe.rs
@@ -1,8 +1,7 @@
-//! Identities of the second front: TLS with X.509-SVIDs, after the SPIFFE ID and X509-SVID documents.
-//! It owns the program's own SVID and one trust bundle for each trust domain, reads both anew when
-//! their files change, and says under which SPIFFE ID a peer has come. It must never say what an
-//! identity may do, take a name from anywhere but the one URI SAN, or let a bundle vouch for a
-//! trust domain that is not its own.
+//! Identities of the Faktory front: TLS with X.509-SVIDs, as the SPIFFE ID and X509-SVID specifications define
+//! them. Holds the program's own SVID and one trust bundle for each trust domain, reloads them when their files
+//! change, and identifies peers by SPIFFE ID. A peer's ID is its only URI SAN, and a bundle verifies peers of its
+//! own trust domain only.
 
 use rustls::DigitallySignedStruct;
 use rustls::SignatureScheme;
@@ -19,22 +18,22 @@
 use std::sync::{Arc, RwLock};
 use x509_parser::prelude::{FromDer, GeneralName, ParsedExtension, X509Certificate};
 
-/// The files that identities come from.
+/// The files that identities are loaded from.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Files {
-    /// The program's own SVID and those that vouch for it, in PEM.
+    /// The program's own SVID and its intermediate certificates, in PEM.
     pub svid: PathBuf,
-    /// The key of its SVID, in PEM.
+    /// The private key of the SVID, in PEM.
     pub key: PathBuf,
-    /// The trust bundle of each trust domain whose members may come.
+    /// The trust bundle of each trust domain whose peers may connect.
     pub bundle: Vec<Bundle>,
-    /// Seconds between looks at the files.
-    #[serde(default = "five")]
+    /// Seconds between checks for changed files.
+    #[serde(default = "default_reload_s")]
     pub reload_s: f64,
 }
 
-fn five() -> f64 {
+fn default_reload_s() -> f64 {
     5.0
 }
 
@@ -46,7 +45,7 @@
     pub file: PathBuf,
 }
 
-/// A SPIFFE ID that is well formed.
+/// A well-formed SPIFFE ID.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SpiffeId {
     text: String,
@@ -54,22 +53,23 @@
 }
 
 impl SpiffeId {
-    /// Reads an ID.
+    /// Parses an ID.
     pub fn parse(text: &str) -> Result<SpiffeId, String> {
-        let bad = |what: &str| Err(format!("{text:?} is no SPIFFE ID: {what}"));
+        let invalid = |part: &str| Err(format!("{text:?} is no SPIFFE ID: {part}"));
         if text.len() > 2048 {
             return Err("a SPIFFE ID is longer than 2048 bytes".to_owned());
         }
-        let Some(rest) = text.strip_prefix("spiffe://") else { return bad("its scheme") };
+        let Some(rest) = text.strip_prefix("spiffe://") else { return invalid("its scheme") };
         let (domain, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        let of_domain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-._".contains(&b);
-        if domain.is_empty() || domain.len() > 255 || !domain.bytes().all(of_domain) {
-            return bad("its trust domain");
+        let domain_byte = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-._".contains(&b);
+        if domain.is_empty() || domain.len() > 255 || !domain.bytes().all(domain_byte) {
+            return invalid("its trust domain");
         }
-        let of_path = |b: u8| b.is_ascii_alphanumeric() || b"-._".contains(&b);
-        let good = |part: &str| !matches!(part, "" | "." | "..") && part.bytes().all(of_path);
-        if !path.is_empty() && !path[1..].split('/').all(good) {
-            return bad("its path");
+        let path_byte = |b: u8| b.is_ascii_alphanumeric() || b"-._".contains(&b);
+        let valid_segment =
+            |segment: &str| !matches!(segment, "" | "." | "..") && segment.bytes().all(path_byte);
+        if !path.is_empty() && !path[1..].split('/').all(valid_segment) {
+            return invalid("its path");
         }
         Ok(SpiffeId { text: text.to_owned(), domain_len: domain.len() })
     }
@@ -83,7 +83,8 @@
     }
 }
 
-/// The SPIFFE ID of a leaf certificate: its only URI SAN, in a certificate that is fit to be a leaf.
+/// Returns the SPIFFE ID of a leaf certificate, which is its only URI SAN, after checking that the certificate
+/// may be a leaf.
 pub fn id_of(leaf: &CertificateDer<'_>) -> Result<SpiffeId, String> {
     let (rest, leaf) = X509Certificate::from_der(leaf).map_err(|e| format!("certificate: {e}"))?;
     if !rest.is_empty() {
@@ -115,14 +116,15 @@
     }
 }
 
-/// What the files held when they were last read.
+/// The identities loaded at the last read of the files.
 struct Loaded {
-    texts: Vec<Vec<u8>>,
-    own: Arc<CertifiedKey>,
+    file_contents: Vec<Vec<u8>>,
+    own_svid: Arc<CertifiedKey>,
+    /// The verifier of each trust domain.
     verifiers: BTreeMap<String, Arc<dyn ClientCertVerifier>>,
 }
 
-/// Identities as they stand now.
+/// The current identities, which can be reloaded.
 pub struct Identities {
     files: Files,
     provider: Arc<CryptoProvider>,
@@ -136,64 +138,66 @@
 }
 
 impl Identities {
-    /// Reads the files.
+    /// Loads the files.
     ///
     /// # Errors
     ///
-    /// Names the key of the operator's file whose file is of no use.
+    /// Names the key of the operator's file whose file is missing or invalid.
     pub fn load(files: Files) -> Result<Arc<Identities>, String> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let loaded = read(&files, &provider)?;
+        let loaded = load(&files, &provider)?;
         Ok(Arc::new(Identities { files, provider, loaded: RwLock::new(Arc::new(loaded)) }))
     }
 
-    /// Reads the files anew; whether they had changed. What is of no use changes nothing.
+    /// Reloads the files, and returns whether they had changed. With an error the loaded identities stay.
     pub fn reload(&self) -> Result<bool, String> {
-        if texts(&self.files)? == self.now().texts {
+        if read_files(&self.files)? == self.current().file_contents {
             return Ok(false);
         }
-        let loaded = Arc::new(read(&self.files, &self.provider)?);
+        let loaded = Arc::new(load(&self.files, &self.provider)?);
         *self.loaded.write().unwrap_or_else(|poisoned| poisoned.into_inner()) = loaded;
         Ok(true)
     }
 
-    fn now(&self) -> Arc<Loaded> {
+    fn current(&self) -> Arc<Loaded> {
         self.loaded.read().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
     }
 
-    /// TLS in which both sides show an SVID.
+    /// Returns the configuration of mutual TLS, in which both sides present an SVID.
     pub fn server_config(self: &Arc<Self>) -> Result<Arc<ServerConfig>, String> {
         let mut config = ServerConfig::builder_with_provider(self.provider.clone())
             .with_safe_default_protocol_versions()
             .map_err(|e| e.to_string())?
             .with_client_cert_verifier(Arc::new(Verifier(self.clone())))
-            .with_cert_resolver(Arc::new(Own(self.clone())));
-        // A session taken up again would skip the check of an SVID that has expired since.
+            .with_cert_resolver(Arc::new(OwnSvid(self.clone())));
+        // Session resumption would skip the check of an SVID that has expired in the meantime.
         config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
         Ok(Arc::new(config))
     }
 }
 
-fn texts(files: &Files) -> Result<Vec<Vec<u8>>, String> {
+/// Reads the files: the SVID, the key and then the bundles.
+fn read_files(files: &Files) -> Result<Vec<Vec<u8>>, String> {
     let bundles = files.bundle.iter().map(|bundle| ("tls.bundle.file", &bundle.file));
     let all = [("tls.svid", &files.svid), ("tls.key", &files.key)].into_iter().chain(bundles);
     all.map(|(key, path)| std::fs::read(path).map_err(|e| format!("{key}: {}: {e}", path.display())))
         .collect()
 }
 
-fn read(files: &Files, provider: &Arc<CryptoProvider>) -> Result<Loaded, String> {
-    let texts = texts(files)?;
+/// Reads and parses the files.
+fn load(files: &Files, provider: &Arc<CryptoProvider>) -> Result<Loaded, String> {
+    let file_contents = read_files(files)?;
     let certificates = |key: &str, text: &[u8]| -> Result<Vec<CertificateDer<'static>>, String> {
         let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(text).collect();
         all.ok().filter(|all| !all.is_empty()).ok_or_else(|| format!("{key}: holds no certificates in PEM"))
     };
-    let chain = certificates("tls.svid", &texts[0])?;
+    let chain = certificates("tls.svid", &file_contents[0])?;
     id_of(&chain[0]).map_err(|e| format!("tls.svid: {e}"))?;
-    let key = PrivateKeyDer::from_pem_slice(&texts[1]).map_err(|e| format!("tls.key: {e}"))?;
-    let own = CertifiedKey::from_der(chain, key, provider).map_err(|e| format!("tls.key: {e}"))?;
+    let key = PrivateKeyDer::from_pem_slice(&file_contents[1]).map_err(|e| format!("tls.key: {e}"))?;
+    let own_svid = CertifiedKey::from_der(chain, key, provider).map_err(|e| format!("tls.key: {e}"))?;
     let mut verifiers = BTreeMap::new();
-    for (bundle, text) in files.bundle.iter().zip(&texts[2..]) {
+    for (bundle, text) in files.bundle.iter().zip(&file_contents[2..]) {
         let domain = bundle.trust_domain.clone();
         SpiffeId::parse(&format!("spiffe://{domain}"))
             .map_err(|e| format!("tls.bundle.trust_domain: {e}"))?;
@@ -207,19 +211,20 @@
             return Err(format!("tls.bundle.trust_domain: {domain} is there twice"));
         }
     }
-    Ok(Loaded { texts, own: Arc::new(own), verifiers })
+    Ok(Loaded { file_contents, own_svid: Arc::new(own_svid), verifiers })
 }
 
+/// Presents the program's current SVID.
 #[derive(Debug)]
-struct Own(Arc<Identities>);
+struct OwnSvid(Arc<Identities>);
 
-impl ResolvesServerCert for Own {
+impl ResolvesServerCert for OwnSvid {
     fn resolve(&self, _: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
-        Some(self.0.now().own.clone())
+        Some(self.0.current().own_svid.clone())
     }
 }
 
-/// Checks a peer's SVID against the bundle of the trust domain that it names, and no other.
+/// Verifies a peer's SVID against the bundle of the trust domain that it names, and no other.
 #[derive(Debug)]
 struct Verifier(Arc<Identities>);
 
@@ -234,12 +239,12 @@
         others: &[CertificateDer<'_>],
         now: UnixTime,
     ) -> Result<ClientCertVerified, Error> {
-        let refused = |why: String| {
-            log::warn!("peer refused: {why}");
+        let refused = |reason: String| {
+            log::warn!("peer refused: {reason}");
             Error::InvalidCertificate(CertificateError::ApplicationVerificationFailure)
         };
         let id = id_of(leaf).map_err(refused)?;
-        let verifier = self.0.now().verifiers.get(id.trust_domain()).cloned();
+        let verifier = self.0.current().verifiers.get(id.trust_domain()).cloned();
         let verifier = verifier.ok_or_else(|| refused(format!("{}: no such trust domain", id.as_str())))?;
         verifier.verify_client_cert(leaf, others, now).inspect_err(|e| {
             log::warn!("peer refused: {}: {e}", id.as_str());
