--- a/node/src/net/admin.rs
+++ b/node/src/net/admin.rs
@@ -1,7 +1,7 @@
-//! The admin socket: a line protocol on the address that `admin_addr` (or `$NODE_ADMIN_ADDR`) names, with one
-//! command a connection and one answer that begins with `OK` or `ERR`. Runs on a thread of its own, so that it
-//! answers in time however busy the serving thread is: metrics are read from counters, and only commands that
-//! change the dispatcher's state go to the serving thread.
+//! The admin socket: a line protocol on the address that `admin_addr` (or `$NODE_ADMIN_ADDR`) names, with
+//! one command a connection and one answer that begins with `OK` or `ERR`. Runs on a thread of its own, so
+//! that it answers in time however busy the serving thread is: metrics are read from counters, and only
+//! commands that change the dispatcher's state go to the serving thread.
 
 use crate::metrics::Metrics;
 use std::io;
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -1,5 +1,5 @@
-//! The subscriber of a load digest: reads a stream of frames from the publisher that the operator's file names,
-//! and reconnects with a backoff. Frames are handed to the core unjudged.
+//! The subscriber of a load digest: reads a stream of frames from the publisher that the operator's file
+//! names, and reconnects with a backoff. Frames are handed to the core unjudged.
 
 use crate::core::Input;
 use crate::net::runners::ConnectionPool;
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -37,8 +37,9 @@
     failure_reported: Cell<bool>,
     /// Discovery has sent a list since the start.
     list_received: Cell<bool>,
-    /// Earlier watches that have not ended, kept until the current one delivers something: changes that an old
-    /// address still sends count too, a silent watch may only be late, and no change may fall between the two.
+    /// Earlier watches that have not ended, kept until the current one delivers something: changes that an
+    /// old address still sends count too, a silent watch may only be late, and no change may fall between
+    /// the two.
     previous_watches: RefCell<Vec<AbortHandle>>,
     this: Weak<DiscoveryClient>,
 }
@@ -68,8 +69,8 @@
         self.feed_list(kind, hosts);
     }
 
-    /// Whether a newer version has overtaken a list or a change that was asked for at version `asked_at`. A whole
-    /// list older than `asked_at` comes from a discovery whose versions have restarted: it is valid.
+    /// Whether a newer version has overtaken a list or a change that was asked for at version `asked_at`. A
+    /// whole list older than `asked_at` comes from a discovery whose versions have restarted: it is valid.
     fn overtaken(&self, asked_at: u64, hosts: &Hosts) -> bool {
         hosts.seq < self.version.get() && (!hosts.whole || hosts.seq >= asked_at)
     }
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -1,7 +1,8 @@
 //! The Faktory front: the Faktory work protocol, with the dispatcher as the server that clients push to and
-//! workers fetch from. It is a front and a link at once: a PUSH becomes a request with one final answer, and an
-//! attempt goes to the worker that the balancer chose, whether or not that is parked in FETCH. Never chooses a
-//! worker, repeats a job or hands one to a quiet worker. An ACK or FAIL of a finished job changes nothing.
+//! workers fetch from. It is a front and a link at once: a PUSH becomes a request with one final answer,
+//! and an attempt goes to the worker that the balancer chose, whether or not that is parked in FETCH. Never
+//! chooses a worker, repeats a job or hands one to a quiet worker. An ACK or FAIL of a finished job changes
+//! nothing.
 
 use crate::core::{Answer, Arrival, AttemptEnd, AttemptId, Input, ListedRunner, Source};
 use crate::limits::Limits;
@@ -638,7 +639,8 @@
         };
         let class = self.runtime.with_class(class_name, |number, class| (number, class.deadline));
         let (class, deadline) = class.ok_or("custom names no known class")?;
-        // An identity acts for its own member only. The job may name one where neither identity nor route does.
+        // An identity acts for its own member only. The job may name one where neither identity nor route
+        // does.
         let assigned = peer.member.as_deref().or(route.and_then(|r| r.member.as_deref()));
         let named = string(&names.member)?;
         let member = assigned.or(named).or(self.config.member.as_deref());
@@ -802,7 +804,8 @@
         }
     }
 
-    /// Handles a worker's ACK or FAIL. One for a finished job, or for a job of another worker, changes nothing.
+    /// Handles a worker's ACK or FAIL. One for a finished job, or for a job of another worker, changes
+    /// nothing.
     fn finish_job(&self, wid: &str, text: &str, outcome: sr::Outcome) -> Result<(), String> {
         let verb = if outcome == sr::Outcome::Ok { "ACK" } else { "FAIL" };
         let mut body: Value = serde_json::from_str(text).map_err(|_| format!("MALFORMED {verb}: no JSON"))?;
--- a/node/src/net/platform/lifecycle.rs
+++ b/node/src/net/platform/lifecycle.rs
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Notes that the parsed head began a request with a body of this length. Returns false for a request that
-    /// must not be served because it was parsed after the connection's last response.
+    /// Notes that the parsed head began a request with a body of this length. Returns false for a request
+    /// that must not be served because it was parsed after the connection's last response.
     pub fn request_started(&mut self, body: Option<usize>) -> bool {
         if self.stage != Stage::HeadRead {
             return false;
@@ -165,7 +165,8 @@
         self.evicted_while_writing |= mode == CloseMode::Immediate && self.stage == Stage::WritingResponse;
     }
 
-    /// Whether to abort the response, which its client does not read while others need the connection's place.
+    /// Whether to abort the response, which its client does not read while others need the connection's
+    /// place.
     pub fn write_stalled(&self) -> bool {
         self.evicted_while_writing && self.stage == Stage::WritingResponse
     }
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -87,7 +87,8 @@
         };
         let key = self.runtime.key_of(head.class, &job);
         let (ticket, answer) = self.runtime.ticket(head.class);
-        // Dropped with this future when the connection closes before the answer, which reports the client gone.
+        // Dropped with this future when the connection closes before the answer, which reports the client
+        // gone.
         let _here = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(Arrival {
             ticket,
@@ -170,7 +171,8 @@
         let known = self.runtime.knows(&call_back.id);
         let peers = self.peers.borrow().clone().filter(|_| !known);
         if let Some(peers) = peers {
-            // The admin socket takes one line. In JSON a line break is only white space, never within a string.
+            // The admin socket takes one line. In JSON a line break is only white space, never within a
+            // string.
             let line = String::from_utf8_lossy(&body).replace(['\r', '\n'], " ");
             return match peers.forward(&line).await {
                 Forwarded::Accepted | Forwarded::NoOwner => Reply::new(StatusCode::OK, ""),
--- a/node/src/net/platform/shutdown.rs
+++ b/node/src/net/platform/shutdown.rs
@@ -1,5 +1,6 @@
 //! State machine of a graceful shutdown: how long clients are served as usual, when their connections are
-//! closed, and when nothing that was read, or could still be, is left to answer. Contains no I/O and no clock.
+//! closed, and when nothing that was read, or could still be, is left to answer. Contains no I/O and no
+//! clock.
 
 use std::time::Duration;
 
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -1,6 +1,6 @@
-//! The link to the platform's runners over HTTP: attempts, their cancellation and probes. Reports the end of
-//! each attempt once. Never sends an attempt again by itself, never has two attempts of a request at one runner,
-//! and never reports an attempt as unsent whose last byte was written.
+//! The link to the platform's runners over HTTP: attempts, their cancellation and probes. Reports the end
+//! of each attempt once. Never sends an attempt again by itself, never has two attempts of a request at one
+//! runner, and never reports an attempt as unsent whose last byte was written.
 
 mod attempt;
 mod pool;
--- a/node/src/net/runners/pool.rs
+++ b/node/src/net/runners/pool.rs
@@ -21,9 +21,9 @@
     pub static SEND_PERMIT: Rc<SendPermit>;
 }
 
-/// Decides whether an attempt may still be sent, at the moment of its first byte. That may come long after the
-/// attempt was started: the connection may be slow to open, or the runner may have to confirm a cancellation
-/// of the same job first.
+/// Decides whether an attempt may still be sent, at the moment of its first byte. That may come long after
+/// the attempt was started: the connection may be slow to open, or the runner may have to confirm a
+/// cancellation of the same job first.
 pub struct SendPermit {
     granted: Box<dyn Fn() -> bool>,
     denied: Cell<bool>,
@@ -55,8 +55,8 @@
         self.denied.get()
     }
 
-    /// Takes the attempt's connection away from the pool, so that nothing that arrives on it can be read as the
-    /// response to another request. None if the attempt has not begun.
+    /// Takes the attempt's connection away from the pool, so that nothing that arrives on it can be read as
+    /// the response to another request. None if the attempt has not begun.
     pub fn take_connection(&self) -> Option<TcpStream> {
         self.connection.borrow().as_ref().and_then(Weak::upgrade)?.stream.take()
     }
@@ -236,10 +236,11 @@
             log::debug!("connection to {address}");
             let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
             let socket = socket.map_err(TcpError::Io)?;
-            // The last of several small writes must not wait for the acknowledgement of the first. Set before
-            // the connect, where the descriptor is a bare `int`: some builds read it from the connected stream
-            // together with the field next to it and passed that in the register's upper half to setsockopt.
-            // The kernel ignores that half, but the bench's socket layer answered EBADF.
+            // The last of several small writes must not wait for the acknowledgement of the first. Set
+            // before the connect, where the descriptor is a bare `int`: some builds read it from the
+            // connected stream together with the field next to it and passed that in the register's upper
+            // half to setsockopt. The kernel ignores that half, but the bench's socket layer answered
+            // EBADF.
             socket.set_nodelay(true).map_err(TcpError::Io)?;
             let stream = socket.connect(address).await.map_err(TcpError::Io)?;
             let uri = info.request().clone();
--- a/node/src/net/spiffe.rs
+++ b/node/src/net/spiffe.rs
@@ -1,7 +1,7 @@
-//! Identities of the Faktory front: TLS with X.509-SVIDs, as the SPIFFE ID and X509-SVID specifications define
-//! them. Holds the program's own SVID and one trust bundle for each trust domain, reloads them when their files
-//! change, and identifies peers by SPIFFE ID. A peer's ID is its only URI SAN, and a bundle verifies peers of its
-//! own trust domain only.
+//! Identities of the Faktory front: TLS with X.509-SVIDs, as the SPIFFE ID and X509-SVID specifications
+//! define them. Holds the program's own SVID and one trust bundle for each trust domain, reloads them when
+//! their files change, and identifies peers by SPIFFE ID. A peer's ID is its only URI SAN, and a bundle
+//! verifies peers of its own trust domain only.
 
 use rustls::DigitallySignedStruct;
 use rustls::SignatureScheme;
@@ -83,8 +83,8 @@
     }
 }
 
-/// Returns the SPIFFE ID of a leaf certificate, which is its only URI SAN, after checking that the certificate
-/// may be a leaf.
+/// Returns the SPIFFE ID of a leaf certificate, which is its only URI SAN, after checking that the
+/// certificate may be a leaf.
 pub fn id_of(leaf: &CertificateDer<'_>) -> Result<SpiffeId, String> {
     let (rest, leaf) = X509Certificate::from_der(leaf).map_err(|e| format!("certificate: {e}"))?;
     if !rest.is_empty() {
--- a/node/src/net/watch.rs
+++ b/node/src/net/watch.rs
@@ -1,6 +1,6 @@
-//! Errors and the timeout of a watch on discovery or a call for its list. An error is never taken to show whether
-//! discovery could be reached: a refusal, a 503 or a reset says nothing of the time before it, in which there
-//! may have been changes.
+//! Errors and the timeout of a watch on discovery or a call for its list. An error is never taken to show
+//! whether discovery could be reached: a refusal, a 503 or a reset says nothing of the time before it, in
+//! which there may have been changes.
 
 use awc::error::SendRequestError;
 use std::pin::pin;
@@ -40,7 +40,8 @@
     }
 }
 
-/// A timeout with a grace period: expiry is reported first, and the watch is read on until the grace period ends.
+/// A timeout with a grace period: expiry is reported first, and the watch is read on until the grace period
+/// ends.
 pub struct GraceTimeout {
     deadline: Instant,
     grace: Duration,
