--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -26,11 +26,11 @@
     client: Client,
     /// The version of the list held here.
     version: Cell<u64>,
-    /// The address that counts versions so.
+    /// The address that counts these versions.
     address: Cell<Option<SocketAddr>>,
     /// How often the address has changed.
     address_changes: Cell<u64>,
-    /// The number of the current watch.
+    /// The number of the current watch, and the handle of its task.
     watch_number: Cell<u64>,
     watch: RefCell<Option<AbortHandle>>,
     /// A failure was reported, and nothing has shown since that the list is up to date.
@@ -69,10 +69,11 @@
         self.feed_list(kind, hosts);
     }
 
-    /// Whether a newer version has overtaken a list or a change that was asked for at version `asked_at`. A
-    /// whole list older than `asked_at` comes from a discovery whose versions have restarted: it is valid.
-    fn overtaken(&self, asked_at: u64, hosts: &Hosts) -> bool {
-        hosts.seq < self.version.get() && (!hosts.whole || hosts.seq >= asked_at)
+    /// Whether a newer version has overtaken a list or a change, asked for when `asked_version` was held
+    /// here. A whole list older than that comes from a discovery whose versions have restarted: it is
+    /// valid.
+    fn overtaken(&self, asked_version: u64, hosts: &Hosts) -> bool {
+        hosts.seq < self.version.get() && (!hosts.whole || hosts.seq >= asked_version)
     }
 
     /// Reports the list as up to date if a failure was reported before.
@@ -114,11 +115,13 @@
         runtime.feed(Input::List(Source::Discovery, kind, listed));
     }
 
-    /// Applies the answer to a call that was made at this count of address changes and this version.
-    fn apply_answer(&self, address_changes: u64, asked_at: u64, hosts: Hosts) {
+    /// Applies the answer to a call, made at this count of address changes and with this version held.
+    fn apply_answer(&self, address_changes: u64, asked_version: u64, hosts: Hosts) {
         let kind = if hosts.whole { sr::ListKind::Full } else { sr::ListKind::Delta };
         match self.address_changes.get() == address_changes {
-            true if self.overtaken(asked_at, &hosts) => log::debug!("list {kind:?} {}: overtaken", hosts.seq),
+            true if self.overtaken(asked_version, &hosts) => {
+                log::debug!("list {kind:?} {}: overtaken", hosts.seq)
+            }
             true => self.apply_list(kind, hosts),
             // Its version was counted by an earlier address, so the entries count but the version does not.
             false => self.feed_list(kind, hosts),
@@ -129,8 +132,8 @@
     async fn read_watch(&self, address: SocketAddr, number: u64) -> Result<(), WatchError> {
         let runtime = self.runtime.upgrade().ok_or("the program ends")?;
         let limits = &runtime.limits;
-        let (asked_at, address_changes) = (self.version.get(), self.address_changes.get());
-        let url = format!("http://{address}/discovery/hosts?stream=1&index={asked_at}");
+        let (asked_version, address_changes) = (self.version.get(), self.address_changes.get());
+        let url = format!("http://{address}/discovery/hosts?stream=1&index={asked_version}");
         // On a connection of its own: one kept from an earlier call may be closed while this is written.
         let request = self.client.get(url).address(address).no_decompress().force_close().send();
         let mut timeout = GraceTimeout::new(limits.list_timeout, limits.late_watch_timeout);
@@ -154,7 +157,7 @@
             let mut list = false;
             while let Some(hosts) = stream.next()? {
                 list = true;
-                self.apply_answer(address_changes, asked_at, hosts);
+                self.apply_answer(address_changes, asked_version, hosts);
             }
             any_list |= list;
             // Bytes alone don't show that discovery is alive: a whole object does, and after the first one an
@@ -174,7 +177,7 @@
     /// Asks for the whole list once and applies it.
     async fn fetch_list(&self, address: SocketAddr) -> Result<(), WatchError> {
         let runtime = self.runtime.upgrade().ok_or("the program ends")?;
-        let (asked_at, address_changes) = (self.version.get(), self.address_changes.get());
+        let (asked_version, address_changes) = (self.version.get(), self.address_changes.get());
         let url = format!("http://{address}/discovery/hosts");
         let call = async {
             let request = self.client.get(url).address(address).no_decompress().force_close();
@@ -188,7 +191,7 @@
         let body =
             tokio::time::timeout(runtime.limits.list_timeout, call).await.map_err(|_| "no answer")??;
         let hosts = serde_json::from_slice(&body).map_err(|e| format!("the list can't be read: {e}"))?;
-        self.apply_answer(address_changes, asked_at, hosts);
+        self.apply_answer(address_changes, asked_version, hosts);
         Ok(())
     }
 
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -42,7 +42,7 @@
 }
 
 /// A job, by its id, at a runner, by its name.
-type JobAt = (Rc<str>, String);
+type JobAtRunner = (Rc<str>, String);
 
 /// The link to the platform's runners.
 pub struct RunnerLink {
@@ -52,7 +52,7 @@
     addresses: RefCell<HashMap<String, SocketAddr>>,
     attempts: RefCell<HashMap<AttemptId, OpenAttempt>>,
     /// Jobs being cancelled, by id and runner: the next attempt of the job there waits for the notification.
-    cancellations: RefCell<HashMap<JobAt, Rc<Notify>>>,
+    cancellations: RefCell<HashMap<JobAtRunner, Rc<Notify>>>,
     this: Weak<RunnerLink>,
 }
 
@@ -114,19 +114,20 @@
 
     /// Cancels a job at its runner, and notifies attempts that wait for that. Before the 202, closing the
     /// connection cancels the job; but a runner whose 202 is already in transit ignores that. So the
-    /// connection without a response is read until its end, and if anything arrives the job is cancelled by
+    /// unanswered connection is read until its end, and if anything arrives the job is cancelled by
     /// a request.
-    fn cancel_job(&self, id: Rc<str>, runner: String, without_response: Option<TcpStream>) {
+    fn cancel_job(&self, id: Rc<str>, runner: String, unanswered_connection: Option<TcpStream>) {
         let Some(&address) = self.addresses.borrow().get(&runner) else { return };
         let (Some(this), Some(runtime)) = (self.this.upgrade(), self.runtime.upgrade()) else { return };
         let key = (id, runner);
         let done = Rc::new(Notify::new());
         self.cancellations.borrow_mut().insert(key.clone(), done.clone());
-        let without_response = without_response.map(|connection| self.pool.adopt(connection, address));
+        let unanswered_connection =
+            unanswered_connection.map(|connection| self.pool.adopt(connection, address));
         actix_rt::spawn(async move {
             let url = format!("http://{address}/jobs/{}", key.0);
             let cancellation = async {
-                if let Some(mut connection) = without_response {
+                if let Some(mut connection) = unanswered_connection {
                     let _ = connection.shutdown().await;
                     if !matches!(connection.read(&mut [0; 64]).await, Ok(1..)) {
                         return Some(Bytes::new());
@@ -203,10 +204,10 @@
         if open.accepted.get() {
             self.cancel_job(open.id, open.runner, None);
         } else {
-            let without_response = open.permit.take_connection();
+            let unanswered_connection = open.permit.take_connection();
             open.task.abort();
-            if without_response.is_some() {
-                self.cancel_job(open.id, open.runner, without_response);
+            if unanswered_connection.is_some() {
+                self.cancel_job(open.id, open.runner, unanswered_connection);
             }
         }
     }
