--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -85,7 +85,7 @@
             queue: None,
             original: None,
         };
-        let key = self.runtime.key_of(head.class, &job);
+        let key = self.runtime.idempotency_key(head.class, &job);
         let (ticket, answer) = self.runtime.ticket(head.class);
         // Dropped with this future when the connection closes before the answer, which reports the client
         // gone.
@@ -168,7 +168,7 @@
             }
         };
         log::trace!("call-back {}", String::from_utf8_lossy(&body));
-        let known = self.runtime.knows(&call_back.id);
+        let known = self.runtime.has_request(&call_back.id);
         let peers = self.peers.borrow().clone().filter(|_| !known);
         if let Some(peers) = peers {
             // The admin socket takes one line. In JSON a line break is only white space, never within a
--- a/node/src/net/platform/stream.rs
+++ b/node/src/net/platform/stream.rs
@@ -50,24 +50,16 @@
 
 impl GuardedStream {
     pub fn new(stream: TcpStream, connection: Rc<Connection>, limits: &Limits) -> GuardedStream {
-        GuardedStream {
-            stream: Some(stream),
-            connection,
-            buffered: BytesMut::new(),
-            peer_closed: false,
-            max_head_bytes: limits.max_head_bytes,
-            head_timeout: limits.head_timeout,
-            keep_alive: limits.keep_alive,
-            timer: None,
-        }
+        let Limits { max_head_bytes, head_timeout, keep_alive, .. } = *limits;
+        let (stream, buffered, peer_closed, timer) = (Some(stream), BytesMut::new(), false, None);
+        Self { stream, connection, buffered, peer_closed, max_head_bytes, head_timeout, keep_alive, timer }
     }
 
     fn stream(&mut self) -> io::Result<&mut TcpStream> {
         self.stream.as_mut().ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 
-    /// Writes an error response in place of actix-http, which would wait for the end of the head, and stops
-    /// the reading.
+    /// Responds in place of actix-http, which would wait for the end of the head, and stops the reading.
     fn reject(&mut self, status: &str) -> Poll<io::Result<()>> {
         let response = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         // A peer whose window is full of responses that it does not read will not miss this one.
@@ -101,8 +93,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads once with a direct system call: tokio's cached readiness may be out of date. Returns whether
-    /// there was anything, the peer's close included.
+    /// Reads once, as tokio's cached readiness may be out of date. Returns whether there was anything.
     fn try_fill(&mut self) -> io::Result<bool> {
         let mut scratch = [0; CHUNK_BYTES];
         match (&*SockRef::from(&*self.stream()?)).read(&mut scratch) {
@@ -143,8 +134,7 @@
         let connection = this.connection.clone();
         loop {
             let fits = this.buffered.len().min(buf.remaining());
-            let passed = connection
-                .update(|lifecycle| lifecycle.pass_to_parser(&this.buffered[..fits], this.max_head_bytes));
+            let passed = connection.update(|s| s.pass_to_parser(&this.buffered[..fits], this.max_head_bytes));
             let Ok(passed) = passed.map_err(|HeadTooLong| ()) else {
                 return this.reject("431 Request Header Fields Too Large");
             };
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -186,7 +186,7 @@
                     log::debug!("runner {} took {}", key.1, key.0);
                     task_accepted.set(true);
                 }
-                AttemptResult::Unusable => runtime.feed(Input::Unusable(attempt)),
+                AttemptResult::RequestRejected => runtime.feed(Input::RequestRejected(attempt)),
                 AttemptResult::Ended(end) => runtime.feed(Input::AttemptEnded(attempt, end)),
                 AttemptResult::Unreadable => {
                     this.cancel_job(key.0, key.1, None);
--- a/node/src/net/runners/attempt.rs
+++ b/node/src/net/runners/attempt.rs
@@ -18,7 +18,7 @@
     /// The runner accepted the job with a 202.
     Accepted,
     /// The request itself is at fault.
-    Unusable,
+    RequestRejected,
     Ended(AttemptEnd),
     /// The response makes no sense: the runner may have the job.
     Unreadable,
@@ -76,7 +76,7 @@
             }
             StatusCode::BAD_REQUEST => {
                 log::info!("runner at {address} can't use request {id}");
-                AttemptResult::Unusable
+                AttemptResult::RequestRejected
             }
             StatusCode::INTERNAL_SERVER_ERROR
             | StatusCode::SERVICE_UNAVAILABLE
