--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -88,10 +88,10 @@
         let Some(runtime) = self.runtime.upgrade() else { return };
         let mut listed = Vec::with_capacity(hosts.hosts.len());
         for host in hosts.hosts {
-            let standing = host.standing();
+            let state = host.state();
             match host.dial.parse() {
                 Ok(address) => self.runners.set_address(&host.host, address),
-                Err(e) if standing == sr::WorkerState::Ready => {
+                Err(e) if state == sr::WorkerState::Ready => {
                     log::warn!("discovery: address {:?} of runner {}: {e}", host.dial, host.host);
                     continue;
                 }
@@ -102,7 +102,7 @@
                 zone: host.site,
                 kind: host.class,
                 cell: host.block,
-                state: standing,
+                state,
                 size: host.share.unwrap_or(1.0),
                 up_since: runtime.clock.unix_ms(host.born_ms),
             });
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -528,11 +528,11 @@
         Ok(())
     }
 
-    /// Reports a worker's standing to the core.
+    /// Reports a worker's state to the core.
     fn report_worker(&self, wid: &str) {
         let workers = self.workers.borrow();
         let Some(worker) = workers.get(wid) else { return };
-        let standing = match worker {
+        let state = match worker {
             worker if worker.connections.is_empty() => sr::WorkerState::Gone,
             Worker { quiet: true, .. } => sr::WorkerState::Draining,
             _ => sr::WorkerState::Ready,
@@ -542,7 +542,7 @@
             zone: worker.zone.clone(),
             kind: worker.kind.clone(),
             cell: 0,
-            state: standing,
+            state,
             size: 1.0,
             up_since: Some(worker.up_since),
         };
--- a/node/src/net/hosts.rs
+++ b/node/src/net/hosts.rs
@@ -32,8 +32,8 @@
 }
 
 impl Host {
-    /// Returns the runner's standing by its `health`.
-    pub fn standing(&self) -> sr::WorkerState {
+    /// Returns the runner's state by its `health`.
+    pub fn state(&self) -> sr::WorkerState {
         match self.health.as_str() {
             "active" => sr::WorkerState::Ready,
             "leaving" => sr::WorkerState::Draining,
