--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -1,8 +1,7 @@
-//! The scale run: a few real dispatchers beside many hollow ones, hollow runners, discovery and clients, each
-//! role in a process of its own so that its cost can be read. It owns what a run consists of; it must never
-//! measure one role's cost inside another's process.
+//! The scale run: a few real dispatchers beside many hollow ones, with hollow runners, discovery and clients.
+//! Each role runs in a process of its own, so that its cost can be measured separately.
 
-pub mod acts;
+pub mod adoptions;
 pub mod changes;
 mod checks;
 pub mod config;
@@ -12,26 +11,26 @@
 mod faults;
 pub mod figures;
 pub mod fit;
-pub mod herd;
 pub mod hollow;
-pub mod joined;
+pub mod hollow_group;
 pub mod layout;
 pub mod machine;
 pub mod part;
 pub mod part_clients;
 pub mod part_discovery;
 pub mod part_dispatchers;
-mod part_link;
+mod part_process;
 pub mod part_runners;
 pub mod plan;
 pub mod play;
 pub mod point;
 mod processes;
+pub mod protocol;
 pub mod publisher;
-pub mod records;
+pub mod record_reader;
+pub mod record_writers;
 pub mod report;
 pub mod sample;
 pub mod session;
 pub mod steps;
 pub mod stream;
-pub mod words;
--- a/lab/src/scale/config.rs
+++ b/lab/src/scale/config.rs
@@ -1,12 +1,11 @@
-//! What a dispatcher of the scale run is told in its configuration, real or hollow. It owns that form, so that
-//! both are told the same; it must never write a file.
+//! The configuration of a dispatcher of the scale run, the same for a real and a hollow one. Writes no file.
 
-use super::words::Layout;
+use super::protocol::Layout;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What stands in `$NODE_CONFIG` of the dispatcher of this number.
-pub fn config(layout: &Layout, number: usize, settings: &Value, discovery: SocketAddr) -> Value {
+/// Returns the content of the `$NODE_CONFIG` file for dispatcher `number`.
+pub fn dispatcher_config(layout: &Layout, number: usize, settings: &Value, discovery: SocketAddr) -> Value {
     let dispatcher = &layout.dispatchers[number];
     let mut settings = settings.clone();
     settings["me"] = json!(number);
--- a/lab/src/scale/control.rs
+++ b/lab/src/scale/control.rs
@@ -1,15 +1,15 @@
-//! What control costs on the wire, by side, for each dispatcher: everything but requests, answers and call-backs.
-//! It owns what counts as control; it must never count anything itself.
+//! The control traffic of each dispatcher, real and hollow: all bytes and messages but requests, answers and
+//! call-backs. Computed from what the parts have counted.
 
 use super::figures::Values;
-use super::play::Played;
-use super::publisher::told;
+use super::play::PlayedPoint;
+use super::publisher::published_between;
 
-/// Adds `control.SIDE.*` to the figures of a point, out of those of its parts.
-pub fn control(played: &Played, values: &mut Values) {
+/// Adds the figures `control.SIDE.*` of a point, computed from those of its parts.
+pub fn control_costs(played: &PlayedPoint, values: &mut Values) {
     for side in ["real", "hollow"] {
-        let own = played.layout.dispatchers.iter().filter(|d| d.hollow == (side == "hollow"));
-        if own.count() == 0 {
+        let dispatchers = played.layout.dispatchers.iter().filter(|d| d.hollow == (side == "hollow"));
+        if dispatchers.count() == 0 {
             continue;
         }
         let of = |role: &str, name: &str| {
@@ -22,19 +22,20 @@
         let empty = discovery("bytes_out.empty_lines");
         let asked = discovery("bytes_in");
         let probes = runners("bytes_in.probes") + runners("bytes_out.probes");
-        // Reports are counted together, whether probes or call-backs bring them; all are alike in length.
+        // Load reports in answers to probes and in call-backs share one counter. All have the same length, so
+        // the call-backs' part of the bytes is their part of the number.
         let (probed, ended) = (runners("probes"), runners("ended"));
         let reports = runners("bytes_out.reports") * ended / (probed + ended).max(1e-9);
-        let handed = settings(played);
-        let digest = digest(played);
-        let bytes = lists + changes + empty + asked + probes + reports + handed.0 + digest.0;
+        let reloads = settings_rates(played);
+        let digest = digest_rates(played);
+        let bytes = lists + changes + empty + asked + probes + reports + reloads.0 + digest.0;
         let messages = discovery("whole_lists")
             + discovery("changes")
             + discovery("empty_lines")
             + discovery("calls.lists")
             + discovery("calls.watches")
             + probed * 2.0
-            + handed.1
+            + reloads.1
             + digest.1;
         for (name, value) in [
             ("bytes_per_s", bytes),
@@ -45,7 +46,7 @@
             ("bytes_asked_per_s", asked),
             ("bytes_probes_per_s", probes),
             ("bytes_reports_in_callbacks_per_s", reports),
-            ("bytes_settings_per_s", handed.0),
+            ("bytes_settings_per_s", reloads.0),
             ("bytes_digest_per_s", digest.0),
         ] {
             values.insert(format!("control.{side}.{name}"), value);
@@ -53,17 +54,17 @@
     }
 }
 
-/// Bytes and messages a second of the digest, which tells every dispatcher the same; what a follower is told at its
-/// start is one more.
-fn digest(played: &Played) -> (f64, f64) {
+/// Returns bytes and messages a second of the load digest. Every dispatcher receives the same frames; a full
+/// digest goes to one follower as it connects, so those bytes are divided among the dispatchers.
+fn digest_rates(played: &PlayedPoint) -> (f64, f64) {
     let (from, to) = (played.samples[0].at_us, played.samples[1].at_us);
-    let (seconds, told) = ((to - from) as f64 / 1e6, told(&played.published, from, to));
-    let wholes = told.wholes / played.layout.dispatchers.len() as f64;
-    ((told.frames + wholes) / seconds, told.count / seconds)
+    let (seconds, published) = ((to - from) as f64 / 1e6, published_between(&played.publisher_log, from, to));
+    let wholes = published.wholes / played.layout.dispatchers.len() as f64;
+    ((published.frames + wholes) / seconds, published.count / seconds)
 }
 
-/// Bytes and messages a second of settings handed to a dispatcher, each version whole, as a file.
-fn settings(played: &Played) -> (f64, f64) {
+/// Returns bytes and messages a second of new settings; a dispatcher gets each version as a complete file.
+fn settings_rates(played: &PlayedPoint) -> (f64, f64) {
     let seconds = (played.samples[1].at_us - played.samples[0].at_us) as f64 / 1e6;
     let versions = played.changes.iter().filter(|change| change.what == "settings").count() as f64;
     let length = played.layout.settings.to_string().len() as f64;
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -1,28 +1,31 @@
-//! One hollow dispatcher: the program's own reducer, links, discovery and front, put together as the program does,
-//! on real sockets; its clients' requests are handed in within the process. It owns everything of it, so that a
-//! kill ends all at once, as the system ends a process; it must never do what the program does in another way.
+//! A hollow dispatcher: the program's own reducer, links, discovery and front, assembled as the program does
+//! and on real sockets; only its clients' requests are passed in within the process. Each runs in a
+//! `LocalSet` of its own, so that killing it ends all its tasks and sockets at once, as the system does with
+//! a process.
 //!
-//! What it is no evidence for, and where a real one has to be looked at:
-//! - **clients' connections**: there are none, so nothing of their descriptors and memory, of reading and writing
-//!   their messages, of connections refused or closed for want of room;
-//! - **processor time and memory of one**: known of the whole process only, which also holds the records, the
-//!   clients' tasks and the timing of steps; what a process of its own costs besides (its code's pages, allocator,
-//!   runtime, log) is shared. A mean is the process's figure by the number that are up;
-//! - **the limit of descriptors**: each keeps to its own, but the system's is that of the process, for all;
-//! - **delays under load**: three threads serve all, so one that is busy holds others up; in a real fleet the
-//!   system shares the cores out;
-//! - **reading a configuration from a file, signals, start and end of a process**: a kill closes the sockets as the
-//!   system would, a start is without the program's loading; there is no orderly end.
+//! Where its results say nothing about a real dispatcher:
+//! - **client connections**: there are none, so neither their descriptors and memory nor the cost of reading
+//!   and writing their messages occur, nor connections refused or closed at a limit;
+//! - **processor time and memory of one dispatcher**: only the process can be measured, which also holds the
+//!   records, the clients' tasks and the timing of steps, while the costs of a separate process (code pages,
+//!   allocator, runtime, log) are shared. The mean is the process's figure divided by the number of
+//!   dispatchers that are up;
+//! - **the limit of descriptors**: each dispatcher keeps its own limit, but the system's applies to the
+//!   process;
+//! - **delays under load**: three threads serve all dispatchers, so a busy one delays others; in a real fleet
+//!   the system schedules them on the cores;
+//! - **configuration files, signals, start and end of a process**: a kill closes the sockets as the system
+//!   would, a start does not include loading the program, and there is no graceful shutdown.
 //!
-//! The same are: decisions, timers, list and watch, attempts, give-ups, probes, call-backs, pools of connections to
-//! runners, what new settings change, and the bytes of all of these.
+//! The same as in a real one are: decisions, timers, list and watch, attempts, cancellations, probes,
+//! call-backs, connection pools to runners, the effects of new settings, and the bytes of all of these.
 
 mod client;
 
-use super::records::{Acts, Answers, Out};
-use super::steps::Steps;
+use super::record_writers::{AdoptionLog, OpenRequest, RequestLog};
+use super::steps::StepTimes;
 use super::stream::Arrival;
-use client::client;
+use client::run_client;
 use sablerun as sr;
 use sablerun_node::assembly;
 use sablerun_node::config::{Config, apply_config};
@@ -39,105 +42,108 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{JoinHandle, JoinSet, LocalSet};
 
-/// What is the same for all hollow dispatchers of a thread.
-pub struct Shared {
-    /// Their requests.
-    pub answers: Answers,
-    /// Versions that they act by.
-    pub acts: Acts,
-    /// The time of their steps.
-    pub steps: RefCell<Steps>,
-    /// The operator's file: what is switched on beside the settings.
+/// The state shared by all hollow dispatchers of a thread.
+pub struct ThreadContext {
+    /// The log of their requests.
+    pub requests: RequestLog,
+    /// The log of the versions that they adopt.
+    pub adoptions: AdoptionLog,
+    /// The durations of their reducers' steps.
+    pub steps: RefCell<StepTimes>,
+    /// The operator's file, which switches on features beside the settings.
     pub operator: Operator,
-    /// Whether clients name their tenants.
+    /// Whether requests name their tenants.
     pub tenants: bool,
 }
 
-/// What is said to one that runs.
-enum Word {
-    Arrived(Out),
-    Adopt(Box<(Config, Value, u64)>, oneshot::Sender<Result<(), String>>),
-    Count(oneshot::Sender<Held>),
+/// A message to a running dispatcher.
+enum Message {
+    Arrived(OpenRequest),
+    Reload(Box<(Config, Value, u64)>, oneshot::Sender<Result<(), String>>),
+    Count(oneshot::Sender<OpenCounts>),
     End(oneshot::Sender<()>),
 }
 
-/// What one holds.
+/// What a dispatcher has open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct OpenCounts {
     /// Requests without a final answer.
     pub open: usize,
-    /// Connections accepted: call-backs only.
+    /// Connections accepted; only runners' call-backs use them.
     pub accepted: usize,
     /// Connections to runners.
     pub runners: usize,
 }
 
-/// One that runs.
+/// A running hollow dispatcher.
 pub struct Hollow {
-    shared: Rc<Shared>,
+    shared: Rc<ThreadContext>,
     number: usize,
-    say: mpsc::UnboundedSender<Word>,
-    /// All its tasks, until it is killed.
+    sender: mpsc::UnboundedSender<Message>,
+    /// The task that runs all its tasks; `None` once it is killed.
     tasks: Cell<Option<JoinHandle<()>>>,
-    lives: Rc<Cell<bool>>,
+    alive: Rc<Cell<bool>>,
 }
 
 impl Hollow {
-    /// Starts one with this configuration, read as the program reads it.
+    /// Starts a dispatcher with this configuration, parsed as the program does.
     ///
     /// # Errors
     ///
-    /// What the program would end with.
-    pub async fn start(shared: &Rc<Shared>, number: usize, text: Value) -> Result<Hollow, String> {
-        let (say, said) = mpsc::unbounded_channel();
+    /// The error with which the program would exit.
+    pub async fn start(shared: &Rc<ThreadContext>, number: usize, config: Value) -> Result<Hollow, String> {
+        let (sender, receiver) = mpsc::unbounded_channel();
         let set = LocalSet::new();
-        let lives = Rc::new(Cell::new(true));
-        let parts = Parts::start(Looker { shared: shared.clone(), number, lives: lives.clone() }, text);
-        // Everything that any part of it spawns belongs to this set, and ends with it.
+        let alive = Rc::new(Cell::new(true));
+        let components = Components::start(
+            RecordingObserver { shared: shared.clone(), number, alive: alive.clone() },
+            config,
+        );
+        // All tasks that its components spawn belong to this set and end with it.
         set.run_until(async move {
-            tokio::task::spawn_local(parts.await?.listen_to(said));
+            tokio::task::spawn_local(components.await?.run(receiver));
             Ok::<_, String>(())
         })
         .await?;
         let tasks = Cell::new(Some(tokio::task::spawn_local(set)));
-        Ok(Hollow { shared: shared.clone(), number, say, tasks, lives })
+        Ok(Hollow { shared: shared.clone(), number, sender, tasks, alive })
     }
 
-    /// A client's request, now.
-    pub fn arrived(&self, arrival: Arrival) {
-        let _ = self.say.send(Word::Arrived(self.shared.answers.out(self.number, arrival)));
+    /// Passes in a client's request.
+    pub fn submit(&self, arrival: Arrival) {
+        let _ = self.sender.send(Message::Arrived(self.shared.requests.open(self.number, arrival)));
     }
 
-    /// A new configuration, as a SIGHUP brings one.
+    /// Applies a new configuration, as the program does on a SIGHUP.
     ///
     /// # Errors
     ///
-    /// Names the setting that makes no sense.
-    pub async fn adopt(&self, text: Value, version: u64) -> Result<(), String> {
-        let config = read(&text)?;
-        let (tell, told) = oneshot::channel();
-        let _ = self.say.send(Word::Adopt(Box::new((config, text, version)), tell));
-        told.await.unwrap_or_else(|_| Err("it has ended".to_owned()))
+    /// Names the invalid setting.
+    pub async fn reload(&self, config: Value, version: u64) -> Result<(), String> {
+        let parsed = parse(&config)?;
+        let (reply, answer) = oneshot::channel();
+        let _ = self.sender.send(Message::Reload(Box::new((parsed, config, version)), reply));
+        answer.await.unwrap_or_else(|_| Err("it has ended".to_owned()))
     }
 
-    /// What it holds.
-    pub async fn held(&self) -> Held {
-        let (tell, told) = oneshot::channel();
-        let _ = self.say.send(Word::Count(tell));
-        told.await.unwrap_or_default()
+    /// Returns what it has open.
+    pub async fn open_counts(&self) -> OpenCounts {
+        let (reply, answer) = oneshot::channel();
+        let _ = self.sender.send(Message::Count(reply));
+        answer.await.unwrap_or_default()
     }
 
-    /// Its clients give up on what is still out: after [`Answers::over`] that is what their records say.
-    pub async fn end(&self) {
-        let (tell, told) = oneshot::channel();
-        let _ = self.say.send(Word::End(tell));
-        let _ = told.await;
+    /// Drops the clients of all open requests; after [`RequestLog::end_stream`] these are recorded as `open`.
+    pub async fn end_clients(&self) {
+        let (reply, answer) = oneshot::channel();
+        let _ = self.sender.send(Message::End(reply));
+        let _ = answer.await;
     }
 
-    /// Kills it: tasks, timers, sockets, state.
+    /// Kills it with all tasks, timers, sockets and state.
     pub async fn kill(&self) {
-        // What its parts still do as they are dropped is no dispatcher's.
-        self.lives.set(false);
+        // Steps of the components while they are dropped are not recorded.
+        self.alive.set(false);
         if let Some(tasks) = self.tasks.take() {
             tasks.abort();
             let _ = tasks.await;
@@ -145,88 +151,95 @@
     }
 }
 
-fn read(text: &Value) -> Result<Config, String> {
-    serde_path_to_error::deserialize(text).map_err(|e| format!("{}: {}", e.path(), e.inner()))
+fn parse(config: &Value) -> Result<Config, String> {
+    serde_path_to_error::deserialize(config).map_err(|e| format!("{}: {}", e.path(), e.inner()))
 }
 
-/// Its parts, within its set.
-struct Parts {
-    shared: Rc<Shared>,
+/// The components of a dispatcher; they live within its `LocalSet`.
+struct Components {
+    shared: Rc<ThreadContext>,
     number: usize,
-    text: Value,
+    config: Value,
     runtime: Rc<Runtime>,
     runners: Rc<RunnerLink>,
     front: Rc<Front>,
 }
 
-impl Parts {
-    async fn start(looker: Looker, text: Value) -> Result<Parts, String> {
-        let (shared, number) = (looker.shared.clone(), looker.number);
-        let config = read(&text)?;
-        let settled = config.to_settings()?;
-        let agent = settled.0.discovery == sr::Discovery::Agent;
-        let machine = &config.limits;
-        let limits = Limits::new(machine.sockets, machine.memory_mb, &config.settings, false);
-        let runtime = assembly::build_runtime(&config, settled, Clock::new(), limits, None)?;
-        runtime.set_observer(Rc::new(looker));
-        let (runners, roster) = assembly::connect(&runtime);
+impl Components {
+    async fn start(observer: RecordingObserver, config: Value) -> Result<Components, String> {
+        let (shared, number) = (observer.shared.clone(), observer.number);
+        let parsed = parse(&config)?;
+        let settings = parsed.to_settings()?;
+        let discovery_by_agent = settings.0.discovery == sr::Discovery::Agent;
+        let machine_limits = &parsed.limits;
+        let limits = Limits::new(machine_limits.sockets, machine_limits.memory_mb, &parsed.settings, false);
+        let runtime = assembly::build_runtime(&parsed, settings, Clock::new(), limits, None)?;
+        runtime.set_observer(Rc::new(observer));
+        let (runners, runner_list) = assembly::connect(&runtime);
         if let Some(section) = &shared.operator.digest {
             DigestSubscriber::start(&runtime, section);
         }
-        let listener = platform::listen(config.listen, runtime.limits.backlog)
-            .map_err(|e| format!("listen: {}: {e}", config.listen))?;
-        let front = assembly::start(&runtime, &roster, config.known.filter(|_| !agent), listener);
-        Ok(Parts { shared, number, text, runtime, runners, front })
+        let listener = platform::listen(parsed.listen, runtime.limits.backlog)
+            .map_err(|e| format!("listen: {}: {e}", parsed.listen))?;
+        let front =
+            assembly::start(&runtime, &runner_list, parsed.known.filter(|_| !discovery_by_agent), listener);
+        Ok(Components { shared, number, config, runtime, runners, front })
     }
 
-    async fn listen_to(mut self, mut said: mpsc::UnboundedReceiver<Word>) {
+    async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut clients = JoinSet::new();
-        while let Some(word) = said.recv().await {
-            match word {
-                Word::Arrived(out) => {
-                    let Shared { answers, tenants, .. } = &*self.shared;
-                    let (deadline, patience) = (answers.deadline, answers.patience());
-                    clients.spawn_local(client(self.runtime.clone(), out, deadline, patience, *tenants));
+        while let Some(message) = receiver.recv().await {
+            match message {
+                Message::Arrived(request) => {
+                    let ThreadContext { requests, tenants, .. } = &*self.shared;
+                    let (deadline, timeout) = (requests.deadline, requests.answer_timeout());
+                    clients.spawn_local(run_client(
+                        self.runtime.clone(),
+                        request,
+                        deadline,
+                        timeout,
+                        *tenants,
+                    ));
                     while clients.try_join_next().is_some() {}
                 }
-                Word::Adopt(read, tell) => {
-                    let (config, new, version) = *read;
-                    let done = apply_config(&self.runtime, &mut self.text, (config, new), None);
-                    if done.is_ok() {
-                        self.shared.acts.act(self.number, "settings", version);
+                Message::Reload(message, reply) => {
+                    let (parsed, config, version) = *message;
+                    let result = apply_config(&self.runtime, &mut self.config, (parsed, config), None);
+                    if result.is_ok() {
+                        self.shared.adoptions.adopted(self.number, "settings", version);
                     }
-                    let _ = tell.send(done);
+                    let _ = reply.send(result);
                 }
-                Word::Count(tell) => {
+                Message::Count(reply) => {
                     let (accepted, runners) = (self.front.connections(), self.runners.connections());
-                    let _ = tell.send(Held { open: self.runtime.open(), accepted, runners });
+                    let _ = reply.send(OpenCounts { open: self.runtime.open(), accepted, runners });
                 }
-                Word::End(tell) => {
+                Message::End(reply) => {
                     clients.shutdown().await;
-                    let _ = tell.send(());
+                    let _ = reply.send(());
                 }
             }
         }
-        // Whoever could say something is gone, but not the dispatcher.
+        // The senders are dropped, but the dispatcher runs until it is killed.
         std::future::pending::<()>().await;
     }
 }
 
-/// Writes down what a real one's log would say.
-struct Looker {
-    shared: Rc<Shared>,
+/// Records adoptions, which a real dispatcher logs, and the durations of steps.
+struct RecordingObserver {
+    shared: Rc<ThreadContext>,
     number: usize,
-    lives: Rc<Cell<bool>>,
+    alive: Rc<Cell<bool>>,
 }
 
-impl Observer for Looker {
+impl Observer for RecordingObserver {
     fn stepped(&self, input: &'static str, took: Duration) {
-        if self.lives.get() {
+        if self.alive.get() {
             self.shared.steps.borrow_mut().record(input, took);
         }
     }
 
     fn listed(&self, version: u64) {
-        self.shared.acts.act(self.number, "list", version);
+        self.shared.adoptions.adopted(self.number, "list", version);
     }
 }
--- a/lab/src/scale/hollow/client.rs
+++ b/lab/src/scale/hollow/client.rs
@@ -1,27 +1,28 @@
-//! A client of a hollow dispatcher: its request, handed in as the platform's front hands in one that it has read.
-//! It owns the request's way to its answer; it must never try again.
+//! The client of a hollow dispatcher: passes a request to the runtime as the platform's front does with one
+//! that it has read. Never retries.
 
-use crate::scale::records::Out;
+use crate::scale::record_writers::OpenRequest;
 use sablerun as sr;
 use sablerun_node::core::{Answer, Arrival, Input};
 use sablerun_node::runtime::{ClientGuard, Job, Runtime};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Hands a request in and waits for its answer. The client waits for this long, and names its tenant or does not.
-pub(super) async fn client(
+/// Passes a request in and waits at most `timeout` for its answer. The request names its tenant if `tenants`
+/// is set.
+pub(super) async fn run_client(
     runtime: Rc<Runtime>,
-    out: Out,
+    request: OpenRequest,
     deadline: Duration,
-    patience: Duration,
+    timeout: Duration,
     tenants: bool,
 ) {
-    let arrival = &out.arrival;
+    let arrival = &request.arrival;
     let tenant_name = tenants.then(|| format!("tenant-{}", arrival.tenant));
     let class = runtime.with_class(arrival.class(), |number, _| number);
     // The front answers a request that names no known class or tenant with 400.
     let (Some(class), Ok(tenant)) = (class, runtime.tenant(tenant_name.as_deref())) else {
-        return out.answered("failed");
+        return request.finish("failed");
     };
     let job = Job {
         target: "/api".to_owned(),
@@ -31,8 +32,8 @@
         ..Job::default()
     };
     let (ticket, answer) = runtime.ticket(class);
-    // Dropped with this future: the client has gone away then, unless it was answered.
-    let _here = ClientGuard::new(&runtime, ticket);
+    // Dropped with this future, which reports the client as gone unless it was answered.
+    let _guard = ClientGuard::new(&runtime, ticket);
     runtime.feed(Input::Arrived(Arrival {
         ticket,
         id: arrival.id.as_str().into(),
@@ -46,7 +47,7 @@
         key: None,
         job: Rc::new(job),
     }));
-    out.answered(match tokio::time::timeout(patience, answer).await {
+    request.finish(match tokio::time::timeout(timeout, answer).await {
         Err(_) | Ok(Err(_)) => "lost",
         Ok(Ok(Answer::Served(_))) => "served",
         Ok(Ok(Answer::Refused(_))) => "refused",
--- a/lab/src/scale/layout.rs
+++ b/lab/src/scale/layout.rs
@@ -1,78 +1,79 @@
-//! Who there is at a point: zones, runners, dispatchers with their addresses, the stream and the settings. It
-//! owns the way from a plan's numbers to the run's words, and must never start anything.
+//! Builds the layout of a point from the numbers of the plan: zones, runners, dispatchers with their
+//! addresses, the request stream and the settings. Starts nothing.
 
 use super::plan::Plan;
-use super::point::{Numbers, Point};
-use super::words::{Dispatcher, Layout, Runner, Stream, Zone};
+use super::point::{Point, Quantities};
+use super::protocol::{Dispatcher, Layout, Runner, Stream, Zone};
 use sablerun_stand_ins::program::free_port;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// In nanoseconds, as settings have times.
+/// Converts seconds to nanoseconds, the unit of times in settings.
 fn nanos(seconds: f64) -> u64 {
     (seconds * 1e9) as u64
 }
 
-/// Lays a point out.
+/// Builds the layout of a point.
 ///
 /// # Errors
 ///
 /// If there are no free addresses.
-pub fn layout(
+pub fn build_layout(
     plan: &Plan,
     point: &Point,
-    numbers: &Numbers,
+    quantities: &Quantities,
     seed: u64,
     folder: &Path,
 ) -> Result<Layout, String> {
     let zones: Vec<_> = zones(plan);
-    let hollow = |number: usize| number >= numbers.real;
-    let addresses = addresses(numbers.dispatchers)?;
+    let hollow = |number: usize| number >= quantities.real;
+    let addresses = addresses(quantities.dispatchers)?;
     let dispatchers = addresses.into_iter().enumerate().map(|(number, listen)| Dispatcher {
         name: format!("n{number}"),
         zone: number % zones.len(),
         hollow: hollow(number),
         listen,
-        share: 1.0 / numbers.dispatchers as f64,
+        share: 1.0 / quantities.dispatchers as f64,
     });
     let per_zone = plan.site.racks / zones.len();
-    let runners = (0..numbers.runners).map(|number| {
+    let runners = (0..quantities.runners).map(|number| {
         let zone = number % zones.len();
         Runner {
             name: format!("s-{:08x}", (number as u32 + 1).wrapping_mul(0x9e37_79b9)),
             zone,
             kind: kind(plan, number),
             rack: zone * per_zone + number / zones.len() % per_zone,
-            slots: numbers.slots,
+            slots: quantities.slots,
         }
     });
-    let asked = &plan.stream;
+    let stream = &plan.stream;
     Ok(Layout {
         seed,
         folder: folder.to_owned(),
         runners: runners.collect(),
         dispatchers: dispatchers.collect(),
         stream: Stream {
-            fill: fill(numbers.running, point.fill_s, plan.stream.work_mean_s),
+            fill: fill(quantities.running, point.fill_s, plan.stream.work_mean_s),
             fill_s: point.fill_s,
-            rate_per_s: numbers.rate_per_s,
+            rate_per_s: quantities.rate_per_s,
             seconds: point.rest_s + point.measured_s,
-            work_mean_s: asked.work_mean_s,
-            work_most_s: asked.work_most_s,
-            urgent: asked.urgent,
-            gang_most: asked.gang_most,
-            gang_share: asked.gang_share,
-            tenants: numbers.tenants as u32,
-            deadline_s: asked.deadline_s,
+            work_mean_s: stream.work_mean_s,
+            work_most_s: stream.work_most_s,
+            urgent: stream.urgent,
+            gang_most: stream.gang_most,
+            gang_share: stream.gang_share,
+            tenants: quantities.tenants as u32,
+            deadline_s: stream.deadline_s,
         },
-        settings: settings(plan, numbers, &zones),
+        settings: settings(plan, quantities, &zones),
         zones,
     })
 }
 
-/// What must come within the fill so that so many are out at its end: some of it ends before.
+/// Returns the number of requests that must arrive during the fill so that `running` of them run at its end,
+/// since some end before.
 fn fill(running: usize, fill_s: f64, mean_s: f64) -> u32 {
     let part = fill_s / mean_s;
     (running as f64 * part / (1.0 - (-part).exp())).round() as u32
@@ -86,44 +87,45 @@
     zones.collect()
 }
 
-/// Kinds by their shares, spread evenly over the numbers (the golden ratio's multiples are).
+/// Returns the kind of a runner. Multiples of the golden ratio spread the kinds evenly over the runners'
+/// numbers.
 fn kind(plan: &Plan, number: usize) -> usize {
-    let at = (number as f64 * 0.618_033_988_749_895).fract();
+    let position = (number as f64 * 0.618_033_988_749_895).fract();
     let mut sum = 0.0;
     let found = plan.site.kind.iter().position(|kind| {
         sum += kind.share;
-        at < sum
+        position < sum
     });
     found.unwrap_or(plan.site.kind.len() - 1)
 }
 
-/// Addresses that stay free while their dispatchers are down, each only once.
-fn addresses(many: usize) -> Result<BTreeSet<SocketAddr>, String> {
+/// Returns distinct addresses that stay free while their dispatchers are down.
+fn addresses(count: usize) -> Result<BTreeSet<SocketAddr>, String> {
     let mut addresses = BTreeSet::new();
-    while addresses.len() < many {
+    while addresses.len() < count {
         addresses.insert(free_port().map_err(|e| format!("addresses for dispatchers: {e}"))?);
     }
     Ok(addresses)
 }
 
-/// The settings of dispatcher 0, as the platform gives them.
-fn settings(plan: &Plan, numbers: &Numbers, zones: &[Zone]) -> Value {
-    let asked = &plan.stream;
+/// Returns the settings of dispatcher 0, in the platform's form.
+fn settings(plan: &Plan, quantities: &Quantities, zones: &[Zone]) -> Value {
+    let stream = &plan.stream;
     let class = |name: &str, objective: f64, importance: f64| {
         json!({"name": name, "objective": nanos(objective), "repeat": "retryable", "group": "all",
-            "deadline": nanos(asked.deadline_s), "importance": importance, "lateWorth": 0.0,
+            "deadline": nanos(stream.deadline_s), "importance": importance, "lateWorth": 0.0,
             "window": nanos(10.0), "streaming": false})
     };
-    let even: f64 = (0..numbers.tenants).map(|n| 1.0 / (n as f64 + 10.0)).sum();
+    let weight_sum: f64 = (0..quantities.tenants).map(|n| 1.0 / (n as f64 + 10.0)).sum();
     let project = |n: usize| {
-        let share = 1.0 / (n as f64 + 10.0) / even;
-        // Room for bursts: quotas are not what this run is about, but they are kept.
-        json!({"name": format!("tenant-{n}"), "share": share, "quotaPerS": (share * numbers.rate_per_s * 3.0).max(0.1)})
+        let share = 1.0 / (n as f64 + 10.0) / weight_sum;
+        // Three times the mean rate, so that quotas are enforced but bursts rarely meet them.
+        json!({"name": format!("tenant-{n}"), "share": share, "quotaPerS": (share * quantities.rate_per_s * 3.0).max(0.1)})
     };
     let names = |zones: &[Zone]| zones.iter().map(|zone| zone.name.clone()).collect::<Vec<_>>();
     let kinds: Vec<_> = plan.site.kind.iter().map(|kind| &kind.name).collect();
     json!({
-        "balancers": numbers.dispatchers, "me": 0, "clientHabits": {"marksRetry": true},
+        "balancers": quantities.dispatchers, "me": 0, "clientHabits": {"marksRetry": true},
         "extra": {"classKind": [-1, -1], "classStretch": [2.0, 2.0], "progress": 0, "queueOrder": "fifo",
                   "reportX0": "free slots", "reportX1": "free memory", "tellsStart": true},
         "failureDomains": names(zones), "kinds": kinds,
@@ -132,7 +134,7 @@
                    "probing": plan.control.probing, "retryAfter": true, "tryLimit": 5},
         "membershipMode": "on_request", "overShareWorth": 0.5,
         "prices": {"crossZone": 0.03, "handshake": 0.02, "lateFail": 0.074, "probe": 0.0018, "waste": 0.04},
-        "projects": (0..numbers.tenants).map(project).collect::<Vec<_>>(),
+        "projects": (0..quantities.tenants).map(project).collect::<Vec<_>>(),
         "reporting": {"fields": ["errors_per_s", "recent_ms", "outstanding", "x0"], "how": "piggyback"},
         "rules": {"answerSlack": 16_000_000, "askWithin": 10_000_000_000u64, "coldFrom": 0.32,
                   "drainGrace": 500_000_000, "fall": 1_000_000_000, "fallMultiple": 2.5,
--- a/lab/src/scale/machine.rs
+++ b/lab/src/scale/machine.rs
@@ -1,40 +1,43 @@
-//! What the machine bears: memory and descriptors of a point, reckoned from slopes that earlier runs measured,
-//! held against what there is. It owns those slopes and the words of a refusal; it must never start anything.
+//! Checks whether the machine has the memory and descriptors that a point needs, estimated with slopes that
+//! earlier runs measured. Starts nothing.
 
 use super::plan::Plan;
-use super::point::{Numbers, Point};
+use super::point::{Point, Quantities};
 use procfs::Current;
 
-/// The most memory that a run may take, whatever the machine has, in MiB.
-const MOST_MB: f64 = 12.0 * 1024.0;
-/// Memory of the run itself and of each part without load, of a real dispatcher, of a hollow one, in MiB.
+/// The most memory that a run may use, whatever the machine has, in MiB.
+const MAX_RUN_MB: f64 = 12.0 * 1024.0;
+/// Memory of the run itself and of each part without load, in MiB.
 const PART_MB: f64 = 40.0;
+/// Memory of a real dispatcher without load, in MiB.
 const REAL_MB: f64 = 16.0;
+/// Memory of a hollow dispatcher without load, in MiB.
 const HOLLOW_MB: f64 = 1.0;
-/// Memory of a pair of dispatcher and runner, and of a request that is out with all its connections, in KiB.
+/// Memory of a pair of dispatcher and runner, in KiB.
 const PAIR_KB: f64 = 6.0;
+/// Memory of an open request with all its connections, in KiB.
 const REQUEST_KB: f64 = 60.0;
-/// Descriptors that any process has for itself.
-const OWN: f64 = 64.0;
+/// Descriptors that any process uses without load.
+const PROCESS_DESCRIPTORS: f64 = 64.0;
 
-/// What the machine has.
+/// The resources of the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// Memory that is available, in MiB.
+    /// Available memory, in MiB.
     pub memory_mb: f64,
-    /// Descriptors of a process.
+    /// The limit of descriptors of a process.
     pub descriptors: f64,
 }
 
 impl Machine {
-    /// Looks.
+    /// Reads the resources from procfs.
     ///
     /// # Errors
     ///
-    /// If the system does not tell.
-    pub fn look() -> Result<Machine, String> {
+    /// If procfs cannot be read.
+    pub fn inspect() -> Result<Machine, String> {
         let memory = procfs::Meminfo::current().map_err(|e| format!("/proc/meminfo: {e}"))?;
-        let limits = procfs::process::Process::myself().and_then(|own| own.limits());
+        let limits = procfs::process::Process::myself().and_then(|process| process.limits());
         let limits = limits.map_err(|e| format!("/proc/self/limits: {e}"))?;
         let descriptors = match limits.max_open_files.soft_limit {
             procfs::process::LimitValue::Value(most) => most as f64,
@@ -44,20 +47,20 @@
         Ok(Machine { memory_mb: available, descriptors })
     }
 
-    /// Whether it bears a point.
+    /// Checks that the machine has what a point needs.
     ///
     /// # Errors
     ///
-    /// Names the key, what it needs, and the number that would do.
-    pub fn bears(&self, plan: &Plan, point: &Point, numbers: &Numbers) -> Result<(), String> {
+    /// Names the key, what the point needs, and the largest number that would do.
+    pub fn check_capacity(&self, plan: &Plan, point: &Point, quantities: &Quantities) -> Result<(), String> {
         let key = |key: &str| format!("point.{}.{key}", point.name);
-        let most = self.memory_mb.min(MOST_MB);
-        let need = memory_mb(numbers);
-        if need > most {
-            // All sizes at once make both pairs and requests fewer, so a part of them surely does.
-            let would = point.size * most / need;
+        let most = self.memory_mb.min(MAX_RUN_MB);
+        let needed = memory_mb(quantities);
+        if needed > most {
+            // A smaller size reduces both pairs and requests, so a proportional reduction suffices.
+            let sufficient = point.size * most / needed;
             return Err(format!(
-                "{}: {} needs {need:.0} MiB, {most:.0} there are; {would:.3} would do",
+                "{}: {} needs {needed:.0} MiB, {most:.0} there are; {sufficient:.3} would do",
                 key("size"),
                 point.size
             ));
@@ -66,28 +69,28 @@
             let (sockets, most) = (point.sockets, self.descriptors);
             return Err(format!("{}: {sockets}, a process may hold {most}; {most} would do", key("sockets")));
         }
-        for (role, fixed, kept) in descriptors(plan, point, numbers) {
-            if fixed >= self.descriptors {
-                let would = point.size_of("runners") * self.descriptors / fixed * 0.9;
+        for (role, base, for_requests) in descriptors(plan, point, quantities) {
+            if base >= self.descriptors {
+                let sufficient = point.size_of("runners") * self.descriptors / base * 0.9;
                 return Err(format!(
-                    "{}: {} needs {fixed:.0} descriptors for {role}, a process may hold {}; \
+                    "{}: {} needs {base:.0} descriptors for {role}, a process may hold {}; \
                     {:.3} would do",
                     key("runners"),
                     point.size_of("runners"),
                     self.descriptors,
-                    down(would)
+                    round_down(sufficient)
                 ));
             }
-            if fixed + kept > self.descriptors {
-                let would = point.size_of("running") * (self.descriptors - fixed) / kept;
+            if base + for_requests > self.descriptors {
+                let sufficient = point.size_of("running") * (self.descriptors - base) / for_requests;
                 return Err(format!(
                     "{}: {} needs {:.0} descriptors for {role}, a process may hold {}; \
                     {:.3} would do",
                     key("running"),
                     point.size_of("running"),
-                    fixed + kept,
+                    base + for_requests,
                     self.descriptors,
-                    down(would)
+                    round_down(sufficient)
                 ));
             }
         }
@@ -95,35 +98,39 @@
     }
 }
 
-fn memory_mb(numbers: &Numbers) -> f64 {
-    let hollow = (numbers.dispatchers - numbers.real) as f64;
-    let pairs = (numbers.dispatchers * numbers.runners) as f64;
+fn memory_mb(quantities: &Quantities) -> f64 {
+    let hollow = (quantities.dispatchers - quantities.real) as f64;
+    let pairs = (quantities.dispatchers * quantities.runners) as f64;
     5.0 * PART_MB
-        + numbers.real as f64 * REAL_MB
+        + quantities.real as f64 * REAL_MB
         + hollow * HOLLOW_MB
-        + (pairs * PAIR_KB + numbers.running as f64 * REQUEST_KB) / 1024.0
+        + (pairs * PAIR_KB + quantities.running as f64 * REQUEST_KB) / 1024.0
 }
 
-/// Rounded down, so that the number that is told does.
-fn down(size: f64) -> f64 {
+/// Rounds down to thousandths, so that the reported number suffices.
+fn round_down(size: f64) -> f64 {
     (size * 1000.0).floor() / 1000.0
 }
 
-/// Descriptors of the parts that hold the most: those that it has anyway, and those that what runs brings.
-fn descriptors(plan: &Plan, point: &Point, numbers: &Numbers) -> [(&'static str, f64, f64); 2] {
+/// Returns the parts with the most descriptors: the role, the descriptors without requests, and those for
+/// requests.
+fn descriptors(plan: &Plan, point: &Point, quantities: &Quantities) -> [(&'static str, f64, f64); 2] {
     let regions = plan.site.zones.len();
-    // A connection stays for as long as a dispatcher keeps it idle, which is 7/10 of the runner's time.
-    let kept = numbers.running as f64 / point.fill_s * plan.control.conn_idle_s * 0.7;
-    let listening = (numbers.runners * regions * 2) as f64;
-    let clients = (numbers.running * numbers.real) as f64 / numbers.dispatchers as f64 * 1.1;
-    [("runners", OWN + listening + numbers.dispatchers as f64, kept), ("clients", OWN, clients)]
+    // A dispatcher keeps a connection idle for 7/10 of the runner's idle time.
+    let for_requests = quantities.running as f64 / point.fill_s * plan.control.conn_idle_s * 0.7;
+    let listening = (quantities.runners * regions * 2) as f64;
+    let clients = (quantities.running * quantities.real) as f64 / quantities.dispatchers as f64 * 1.1;
+    [
+        ("runners", PROCESS_DESCRIPTORS + listening + quantities.dispatchers as f64, for_requests),
+        ("clients", PROCESS_DESCRIPTORS, clients),
+    ]
 }
 
-/// Raises the descriptors of this process, and so of those that it starts, as far as it may.
+/// Raises the descriptor limit of this process, and so of its children, to the hard limit.
 pub fn raise_descriptors() {
     use rustix::process::{Resource, getrlimit, setrlimit};
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
-    // Where this is refused, the check against what there is speaks.
+    // A failure is ignored: `check_capacity` then reports the limit in force.
     let _ = setrlimit(Resource::Nofile, limit);
 }
--- a/lab/src/scale/part_clients.rs
+++ b/lab/src/scale/part_clients.rs
@@ -1,11 +1,11 @@
-//! The part of the scale run that plays the clients of real dispatchers, each request that is out on a connection
-//! of its own. It owns these connections, kept while they are idle; it must never try a request again, but for the
-//! one case that the protocol names: a kept connection that its dispatcher closed as the request was written.
+//! The part of the scale run that plays the clients of real dispatchers. Each open request has a connection
+//! of its own; idle connections are reused. A request is retried only in the case that the protocol names: a
+//! reused connection that the dispatcher closed while the request was written.
 
 use super::part;
-use super::records::{Answers, Out};
+use super::protocol::{Command, Counts, Layout, Ready, Setup, now_us};
+use super::record_writers::{OpenRequest, RequestLog};
 use super::stream::Arrivals;
-use super::words::{Begin, Command, Counts, Layout, Ready, now_us};
 use sablerun_stand_ins::http::{Connection, Message};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -14,99 +14,106 @@
 
 /// Threads that serve all clients.
 const WORKERS: usize = 2;
-/// Time between two looks whether all requests have ended.
-const LOOK: Duration = Duration::from_millis(5);
+/// The interval between checks whether all requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Plays the part until standard input ends.
 ///
 /// # Errors
 ///
-/// If it could not begin.
+/// If it could not start.
 pub fn run() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    runtime.block_on(part::run(Clients::begin, async |clients, command| clients.carry_out(command).await))
+    runtime.block_on(part::run(Clients::start, async |clients, command| clients.execute(command).await))
 }
 
 /// The clients of all real dispatchers.
 pub struct Clients {
     layout: Arc<Layout>,
-    answers: Answers,
-    /// Idle connections, by dispatcher.
+    answers: RequestLog,
+    /// Idle connections by dispatcher.
     idle: Arc<Vec<Mutex<Vec<Connection>>>>,
-    /// Connections that are open.
-    open: Arc<AtomicUsize>,
+    /// The number of connections with an open request.
+    busy: Arc<AtomicUsize>,
     streams: JoinSet<()>,
 }
 
-/// What a client needs of its dispatcher.
+/// What the clients of one dispatcher need.
 #[derive(Clone)]
-struct Way {
+struct ClientContext {
     layout: Arc<Layout>,
     dispatcher: usize,
-    answers: Answers,
+    answers: RequestLog,
     idle: Arc<Vec<Mutex<Vec<Connection>>>>,
-    open: Arc<AtomicUsize>,
+    busy: Arc<AtomicUsize>,
 }
 
 impl Clients {
-    /// Nobody connects yet.
+    /// Prepares the clients; none connects yet.
     ///
     /// # Errors
     ///
-    /// Names the file that can't be made.
-    pub async fn begin(begin: Begin) -> Result<(Clients, Ready), String> {
-        let (layout, deadline) = (Arc::new(begin.layout), Duration::from_secs_f64);
+    /// Names the file that cannot be created.
+    pub async fn start(setup: Setup) -> Result<(Clients, Ready), String> {
+        let (layout, deadline) = (Arc::new(setup.layout), Duration::from_secs_f64);
         let deadline = deadline(layout.stream.deadline_s);
-        let answers = Answers::create(&layout.folder, "requests-clients.csv", deadline)?;
+        let answers = RequestLog::create(&layout.folder, "requests-clients.csv", deadline)?;
         let idle = Arc::new(layout.dispatchers.iter().map(|_| Mutex::default()).collect());
-        let (open, streams) = (Arc::default(), JoinSet::new());
-        Ok((Clients { layout, answers, idle, open, streams }, Ready::default()))
+        let (busy, streams) = (Arc::default(), JoinSet::new());
+        Ok((Clients { layout, answers, idle, busy, streams }, Ready::default()))
     }
 
-    /// Carries out a command; what is not for clients only counts.
+    /// Executes a command; a command for other roles only returns the counts.
     ///
     /// # Errors
     ///
-    /// If records can't be written.
-    pub async fn carry_out(&mut self, command: Command) -> Result<Counts, String> {
+    /// If records cannot be written.
+    pub async fn execute(&mut self, command: Command) -> Result<Counts, String> {
         match command {
             Command::Play => self.play(Instant::now()),
             Command::End => {
-                self.answers.over();
-                // With a stream its requests end too, and their connections with them: each as its task is
-                // next looked at.
+                self.answers.end_stream();
+                // This also ends the streams' requests and their connections, each when its task is next
+                // polled.
                 self.streams.shutdown().await;
-                // A row is written a moment after its connection has gone: the rows are waited for.
+                // A row is written slightly after its connection is closed.
                 while self.answers.counts()["requests.out"] > 0.0 {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
                 for idle in self.idle.iter() {
-                    held(idle).clear();
+                    lock(idle).clear();
                 }
             }
             _ => {}
         }
         self.answers.flush()?;
         let mut values = self.answers.counts();
-        let idle: usize = self.idle.iter().map(|idle| held(idle).len()).sum();
+        let idle: usize = self.idle.iter().map(|idle| lock(idle).len()).sum();
         values.insert("connections.idle".to_owned(), idle as f64);
-        values.insert("connections.busy".to_owned(), self.open.load(Relaxed) as f64);
+        values.insert("connections.busy".to_owned(), self.busy.load(Relaxed) as f64);
         Ok(Counts { at_us: now_us(), values, ..Counts::default() })
     }
 
-    fn play(&mut self, begun: Instant) {
+    fn play(&mut self, play_start: Instant) {
         let real = self.layout.dispatchers.iter().enumerate().filter(|(_, d)| !d.hollow);
-        for (dispatcher, told) in real {
+        for (dispatcher, entry) in real {
             let (layout, answers) = (self.layout.clone(), self.answers.clone());
-            let way = Way { layout, dispatcher, answers, idle: self.idle.clone(), open: self.open.clone() };
-            let arrivals = Arrivals::new(&self.layout.stream, self.layout.seed, dispatcher, told.share);
+            let context = ClientContext {
+                layout,
+                dispatcher,
+                answers,
+                idle: self.idle.clone(),
+                busy: self.busy.clone(),
+            };
+            let arrivals = Arrivals::new(&self.layout.stream, self.layout.seed, dispatcher, entry.share);
             self.streams.spawn(async move {
                 let mut requests = JoinSet::new();
                 for arrival in arrivals {
-                    tokio::time::sleep_until((begun + arrival.at).into()).await;
-                    let (way, out) = (way.clone(), way.answers.out(way.dispatcher, arrival));
-                    requests.spawn(async move { way.request(out).await });
+                    tokio::time::sleep_until((play_start + arrival.at).into()).await;
+                    let (context, request) =
+                        (context.clone(), context.answers.open(context.dispatcher, arrival));
+                    requests.spawn(async move { context.send(request).await });
                     while requests.try_join_next().is_some() {}
                 }
                 while requests.join_next().await.is_some() {}
@@ -115,47 +122,47 @@
     }
 }
 
-fn held(idle: &Mutex<Vec<Connection>>) -> std::sync::MutexGuard<'_, Vec<Connection>> {
+fn lock(idle: &Mutex<Vec<Connection>>) -> std::sync::MutexGuard<'_, Vec<Connection>> {
     idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Counts a request's connection as open while it lives.
-struct Busy(Arc<AtomicUsize>);
+/// Counts a connection as busy until it is dropped.
+struct BusyGuard(Arc<AtomicUsize>);
 
-impl Busy {
-    fn new(open: &Arc<AtomicUsize>) -> Busy {
-        open.fetch_add(1, Relaxed);
-        Busy(open.clone())
+impl BusyGuard {
+    fn new(count: &Arc<AtomicUsize>) -> BusyGuard {
+        count.fetch_add(1, Relaxed);
+        BusyGuard(count.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Relaxed);
     }
 }
 
-impl Way {
-    async fn request(&self, out: Out) {
+impl ClientContext {
+    async fn send(&self, request: OpenRequest) {
         let stream = &self.layout.stream;
         let tenant = match stream.tenants {
             0 => String::new(),
-            _ => format!("\r\nX-Tenant-Id: tenant-{}", out.arrival.tenant),
+            _ => format!("\r\nX-Tenant-Id: tenant-{}", request.arrival.tenant),
         };
         let head = format!(
             "POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: {}\r\nX-Priority-Class: {}{tenant}\r\n\
              X-Timeout: {}m",
-            out.arrival.id,
-            out.arrival.class(),
+            request.arrival.id,
+            request.arrival.class(),
             (stream.deadline_s * 1e3) as u64
         );
-        let body = out.arrival.body();
+        let body = request.arrival.body();
         let answer =
-            tokio::time::timeout(self.answers.patience(), self.exchange(&head, body.as_bytes())).await;
-        out.answered(match answer {
+            tokio::time::timeout(self.answers.answer_timeout(), self.exchange(&head, body.as_bytes())).await;
+        request.finish(match answer {
             Err(_) => "lost",
-            // Nobody listens there, or whoever did ended the connection without an answer: the run knows which
-            // dispatchers it has killed; of any other one such a request is lost.
+            // Either nothing listens there or the connection ended without an answer. The run knows which
+            // dispatchers it has killed and counts such requests of all others as lost.
             Ok(None) => "cut",
             Ok(Some(answer)) => match answer.status {
                 200 => "served",
@@ -165,32 +172,33 @@
         });
     }
 
-    /// One exchange; `None` where there is no connection, or it ends without an answer.
+    /// Sends a request and returns its answer, or `None` if no connection can be opened or it ends without an
+    /// answer.
     async fn exchange(&self, head: &str, body: &[u8]) -> Option<Message> {
         let idle = &self.idle[self.dispatcher];
-        let _busy = Busy::new(&self.open);
-        let kept = held(idle).pop();
-        let mut once = match kept {
+        let _busy = BusyGuard::new(&self.busy);
+        let reused = lock(idle).pop();
+        let mut exchanged = match reused {
             Some(mut connection) => {
-                said(&mut connection, head, body).await.map(|answer| (answer, connection))
+                exchange_on(&mut connection, head, body).await.map(|answer| (answer, connection))
             }
             None => None,
         };
-        if once.is_none() {
+        if exchanged.is_none() {
             let to = self.layout.dispatchers[self.dispatcher].listen;
-            let mut connection = Connection::open(to, self.answers.patience()).await.ok()?;
-            once = said(&mut connection, head, body).await.map(|answer| (answer, connection));
+            let mut connection = Connection::open(to, self.answers.answer_timeout()).await.ok()?;
+            exchanged = exchange_on(&mut connection, head, body).await.map(|answer| (answer, connection));
         }
-        let (answer, connection) = once?;
+        let (answer, connection) = exchanged?;
         if !answer.header("connection").eq_ignore_ascii_case("close") {
-            held(idle).push(connection);
+            lock(idle).push(connection);
         }
         Some(answer)
     }
 }
 
-/// Writes a request and reads its answer.
-async fn said(connection: &mut Connection, head: &str, body: &[u8]) -> Option<Message> {
+/// Writes a request to a connection and reads its answer.
+async fn exchange_on(connection: &mut Connection, head: &str, body: &[u8]) -> Option<Message> {
     connection.write(head, body).await.ok()?;
     connection.read().await.ok()?
 }
--- a/lab/src/scale/part_dispatchers.rs
+++ b/lab/src/scale/part_dispatchers.rs
@@ -1,10 +1,10 @@
-//! The part of the scale run that plays the hollow dispatchers: many in one process, on a few threads. It owns the
-//! threads and what is told to which; it must never play a dispatcher itself.
+//! The part of the scale run that plays the hollow dispatchers: many in one process, on a few threads.
+//! Distributes the dispatchers and the run's commands over the threads.
 
-use super::herd::{Figures, Herd, Order};
+use super::hollow_group::{Figures, GroupCommand, HollowGroup};
 use super::part;
-use super::records::{Acts, Answers};
-use super::words::{Begin, Command, Counts, Ready, now_us};
+use super::protocol::{Command, Counts, Ready, Setup, now_us};
+use super::record_writers::{AdoptionLog, RequestLog};
 use sablerun_node::{cli::Log, logging};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,24 +17,24 @@
 ///
 /// # Errors
 ///
-/// If it could not begin.
+/// If it could not start.
 pub fn run() -> Result<(), String> {
     logging::start(Log::Text);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    runtime.block_on(part::run(Dispatchers::begin, async |dispatchers, command| {
-        dispatchers.carry_out(command).await
+    runtime.block_on(part::run(Dispatchers::start, async |dispatchers, command| {
+        dispatchers.execute(command).await
     }))
 }
 
-/// An order, and who is told what came of it.
-type Asked = (Order, oneshot::Sender<Result<Figures, String>>);
+/// A command and the channel for its result.
+type CommandWithReply = (GroupCommand, oneshot::Sender<Result<Figures, String>>);
 
-/// All threads.
+/// All hollow dispatchers, by thread.
 pub struct Dispatchers {
-    threads: Vec<mpsc::UnboundedSender<Asked>>,
-    answers: Answers,
-    acts: Acts,
+    threads: Vec<mpsc::UnboundedSender<CommandWithReply>>,
+    answers: RequestLog,
+    adoptions: AdoptionLog,
 }
 
 impl Dispatchers {
@@ -43,65 +43,70 @@
     /// # Errors
     ///
     /// Names the dispatcher that could not start, and why.
-    pub async fn begin(begin: Begin) -> Result<(Dispatchers, Ready), String> {
-        let (folder, deadline) = (&begin.layout.folder, begin.layout.stream.deadline_s);
-        let answers = Answers::create(folder, "requests.csv", Duration::from_secs_f64(deadline))?;
-        let acts = Acts::create(folder, "acts.csv")?;
-        let hollow = begin.layout.dispatchers.iter().enumerate().filter(|(_, d)| d.hollow);
+    pub async fn start(setup: Setup) -> Result<(Dispatchers, Ready), String> {
+        let (folder, deadline) = (&setup.layout.folder, setup.layout.stream.deadline_s);
+        let answers = RequestLog::create(folder, "requests.csv", Duration::from_secs_f64(deadline))?;
+        let adoptions = AdoptionLog::create(folder, "acts.csv")?;
+        let hollow = setup.layout.dispatchers.iter().enumerate().filter(|(_, d)| d.hollow);
         let numbers: Vec<usize> = hollow.map(|(number, _)| number).collect();
-        let (begin, mut threads, mut started) = (Arc::new(begin), Vec::new(), Vec::new());
+        let (setup, mut threads, mut started) = (Arc::new(setup), Vec::new(), Vec::new());
         for thread in 0..THREADS {
-            // Dealt out in turn, so that each thread has its part of every zone.
-            let own: Vec<_> = numbers.iter().skip(thread).step_by(THREADS).copied().collect();
-            let ((ask, asked), (tell, told)) = (mpsc::unbounded_channel(), oneshot::channel());
-            let (begin, answers, acts) = (begin.clone(), answers.clone(), acts.clone());
+            // Distributed round-robin, so that each thread has its share of every zone.
+            let thread_numbers: Vec<_> = numbers.iter().skip(thread).step_by(THREADS).copied().collect();
+            let ((sender, commands), (reply, result)) = (mpsc::unbounded_channel(), oneshot::channel());
+            let (setup, answers, adoptions) = (setup.clone(), answers.clone(), adoptions.clone());
             std::thread::spawn(move || {
                 actix_rt::System::new().block_on(async move {
-                    serve(Herd::start(begin, own, answers, acts).await, tell, asked).await;
+                    serve(
+                        HollowGroup::start(setup, thread_numbers, answers, adoptions).await,
+                        reply,
+                        commands,
+                    )
+                    .await;
                 });
             });
-            threads.push(ask);
-            started.push(told);
+            threads.push(sender);
+            started.push(result);
         }
-        for told in started {
-            told.await.unwrap_or_else(|_| Err("a thread of the dispatchers has ended".to_owned()))?;
+        for result in started {
+            result.await.unwrap_or_else(|_| Err("a thread of the dispatchers has ended".to_owned()))?;
         }
-        Ok((Dispatchers { threads, answers, acts }, Ready::default()))
+        Ok((Dispatchers { threads, answers, adoptions }, Ready::default()))
     }
 
-    /// Carries out a command; what is not for dispatchers only counts.
+    /// Executes a command; a command for other roles only returns the counts.
     ///
     /// # Errors
     ///
-    /// Names the dispatcher that could not, and why.
-    pub async fn carry_out(&mut self, command: Command) -> Result<Counts, String> {
-        let order = match command {
-            Command::Play => Order::Play(Instant::now()),
-            Command::DispatchersDown { dispatchers } => Order::Down(dispatchers),
-            Command::DispatchersUp { dispatchers } => Order::Up(dispatchers),
-            Command::Settings { settings, version } => Order::Settings(settings, version),
+    /// Names the dispatcher that failed, and why.
+    pub async fn execute(&mut self, command: Command) -> Result<Counts, String> {
+        let command = match command {
+            Command::Play => GroupCommand::Play(Instant::now()),
+            Command::DispatchersDown { dispatchers } => GroupCommand::Down(dispatchers),
+            Command::DispatchersUp { dispatchers } => GroupCommand::Up(dispatchers),
+            Command::Settings { settings, version } => GroupCommand::Settings(settings, version),
             Command::End => {
-                self.answers.over();
-                Order::End
+                self.answers.end_stream();
+                GroupCommand::End
             }
-            _ => Order::Count,
+            _ => GroupCommand::Count,
         };
-        let asked = self.threads.iter().map(|thread| {
-            let (tell, told) = oneshot::channel();
-            let _ = thread.send((order.clone(), tell));
-            told
+        let results = self.threads.iter().map(|thread| {
+            let (reply, result) = oneshot::channel();
+            let _ = thread.send((command.clone(), reply));
+            result
         });
-        let (mut all, mut failed) = (Figures::default(), None);
-        for told in asked.collect::<Vec<_>>() {
-            match told.await.unwrap_or_else(|_| Err("a thread of the dispatchers has ended".to_owned())) {
+        let (mut all, mut error) = (Figures::default(), None);
+        for result in results.collect::<Vec<_>>() {
+            match result.await.unwrap_or_else(|_| Err("a thread of the dispatchers has ended".to_owned())) {
                 Ok(figures) => all.add(&figures),
-                Err(e) => failed = Some(e),
+                Err(e) => error = Some(e),
             }
         }
         let at_us = now_us();
         self.answers.flush()?;
-        self.acts.flush()?;
-        if let Some(e) = failed {
+        self.adoptions.flush()?;
+        if let Some(e) = error {
             return Err(e);
         }
         all.values.extend(self.answers.counts());
@@ -110,21 +115,21 @@
     }
 }
 
-/// Tells whether the thread's dispatchers are up, and then carries out what is asked of them.
+/// Reports whether the thread's dispatchers have started, then executes commands for them.
 async fn serve(
-    started: Result<Herd, String>,
-    tell: oneshot::Sender<Result<(), String>>,
-    mut asked: mpsc::UnboundedReceiver<Asked>,
+    started: Result<HollowGroup, String>,
+    reply: oneshot::Sender<Result<(), String>>,
+    mut commands: mpsc::UnboundedReceiver<CommandWithReply>,
 ) {
-    let mut herd = match started {
-        Ok(herd) => herd,
+    let mut group = match started {
+        Ok(group) => group,
         Err(e) => {
-            let _ = tell.send(Err(e));
+            let _ = reply.send(Err(e));
             return;
         }
     };
-    let _ = tell.send(Ok(()));
-    while let Some((order, tell)) = asked.recv().await {
-        let _ = tell.send(herd.carry_out(order).await);
+    let _ = reply.send(Ok(()));
+    while let Some((command, reply)) = commands.recv().await {
+        let _ = reply.send(group.execute(command).await);
     }
 }
--- a/lab/src/scale/part_runners.rs
+++ b/lab/src/scale/part_runners.rs
@@ -1,8 +1,10 @@
-//! The part of the scale run that plays all runners, hollow, in one process. It owns the way from the run's words
-//! to the stand-ins' and the record of starts; it must never decide anything for a runner.
+//! The part of the scale run that plays all hollow runners in one process: converts the run's layout and
+//! commands for the stand-ins and records when requests start.
 
 use super::part;
-use super::words::{Begin, Command, Counts, Layout, Ready, Start, Way, control_view, now_us, view};
+use super::protocol::{
+    Command, Counts, CutDirection, Layout, Ready, Setup, Start, control_view, now_us, view,
+};
 use sablerun_stand_ins::hollow::{Dispatcher, Partition, RunnerSpec, Runners, View, profile::Profile};
 use sablerun_stand_ins::metrics::TrafficSource;
 use std::fs::File;
@@ -11,25 +13,25 @@
 /// Threads that serve all runners.
 const WORKERS: usize = 2;
 
-/// The record of starts, and what went wrong first in writing it.
-struct Record {
+/// The file of starts, and the first error in writing it.
+struct StartLog {
     writer: csv::Writer<File>,
-    failed: Option<String>,
+    error: Option<String>,
 }
 
-type Starts = Arc<Mutex<Record>>;
+type SharedStartLog = Arc<Mutex<StartLog>>;
 
 /// Plays the part until standard input ends.
 ///
 /// # Errors
 ///
-/// If it could not begin.
+/// If it could not start.
 pub fn run() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build();
-    runtime.map_err(|e| e.to_string())?.block_on(part::run(begin, obey))
+    runtime.map_err(|e| e.to_string())?.block_on(part::run(start, execute))
 }
 
-/// The views by number, as the run numbers them.
+/// Returns the views in the order of the run's numbers.
 pub(super) fn views(layout: &Layout) -> Vec<View> {
     let regions = layout.zones.iter().map(|zone| zone.region + 1).max().unwrap_or(0);
     let mut views = vec![View { region: 0, source: TrafficSource::Control }; control_view(regions) + 1];
@@ -41,17 +43,17 @@
     views
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub(super) fn region(layout: &Layout, zone: usize) -> Result<usize, String> {
     layout.zones.get(zone).map(|zone| zone.region).ok_or_else(|| format!("layout: there is no zone {zone}"))
 }
 
-async fn begin(told: Begin) -> Result<((Runners, Starts), Ready), String> {
-    let layout = told.layout;
+async fn start(setup: Setup) -> Result<((Runners, SharedStartLog), Ready), String> {
+    let layout = setup.layout;
     let path = layout.folder.join("starts.csv");
     let writer = csv::Writer::from_path(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let starts = Arc::new(Mutex::new(Record { writer, failed: None }));
-    let planned = layout.runners.iter().map(|runner| {
+    let starts = Arc::new(Mutex::new(StartLog { writer, error: None }));
+    let specs = layout.runners.iter().map(|runner| {
         let region = region(&layout, runner.zone)?;
         Ok(RunnerSpec { name: runner.name.clone(), region, slots: runner.slots })
     });
@@ -59,32 +61,35 @@
         let view = view(region(&layout, dispatcher.zone)?, dispatcher.hollow);
         Ok(Dispatcher { callback_address: dispatcher.listen, view })
     });
-    let planned = planned.collect::<Result<Vec<_>, String>>()?;
+    let specs = specs.collect::<Result<Vec<_>, String>>()?;
     let dispatchers = dispatchers.collect::<Result<Vec<_>, String>>()?;
     let record = starts.clone();
-    let began = Box::new(move |id: &str, runner| {
+    let on_start = Box::new(move |id: &str, runner| {
         let start = Start { id: id.to_owned(), at_us: now_us(), runner };
         let mut record = record.lock().expect("no holder panics");
         if let Err(e) = record.writer.serialize(start) {
-            record.failed.get_or_insert(e.to_string());
+            record.error.get_or_insert(e.to_string());
         }
     });
-    let manner = Profile::from_settings(&layout.settings);
-    let runners = Runners::start(&planned, &views(&layout), &dispatchers, manner, began).await;
+    let profile = Profile::from_settings(&layout.settings);
+    let runners = Runners::start(&specs, &views(&layout), &dispatchers, profile, on_start).await;
     let runners = runners.map_err(|e| format!("runners: {e}"))?;
     let ready = Ready { dial: runners.addresses(), ..Ready::default() };
     Ok(((runners, starts), ready))
 }
 
-async fn obey((runners, starts): &mut (Runners, Starts), told: Command) -> Result<Counts, String> {
-    match told {
+async fn execute(
+    (runners, starts): &mut (Runners, SharedStartLog),
+    command: Command,
+) -> Result<Counts, String> {
+    match command {
         Command::RunnersDown { runners: which } => runners.crash(&which).await.map_err(|e| e.to_string())?,
         Command::RunnersUp { runners: which } => runners.restart(&which).map_err(|e| e.to_string())?,
-        Command::Link { cut } => runners.set_partition(cut.map(cut_of)),
+        Command::Link { cut } => runners.set_partition(cut.map(partition)),
         Command::End => {
             let mut record = starts.lock().expect("no holder panics");
             record.writer.flush().map_err(|e| format!("starts.csv: {e}"))?;
-            if let Some(e) = &record.failed {
+            if let Some(e) = &record.error {
                 return Err(format!("starts.csv: {e}"));
             }
         }
@@ -93,10 +98,10 @@
     Ok(Counts { at_us: now_us(), values: runners.metrics().values(), ..Counts::default() })
 }
 
-/// A cut in the stand-ins' words.
-pub(super) fn cut_of(way: Way) -> Partition {
-    match way {
-        Way::Both => Partition::BothDirections,
-        Way::Back => Partition::ToDispatchers,
+/// Converts the direction of a cut link to the stand-ins' type.
+pub(super) fn partition(direction: CutDirection) -> Partition {
+    match direction {
+        CutDirection::Both => Partition::BothDirections,
+        CutDirection::Back => Partition::ToDispatchers,
     }
 }
--- a/lab/src/scale/plan.rs
+++ b/lab/src/scale/plan.rs
@@ -1,60 +1,60 @@
-//! The form of a scale run's file: the whole size, the site, the stream, the sweep and single points, with its
-//! defaults and errors. It owns what the keys may say, and must never start anything or ask what the machine
-//! bears (that is `machine`'s). Times end in their unit; shares and sizes are parts of the whole.
+//! The file format of a scale run: the full size, the site, the request stream, the sweep and single points,
+//! with defaults and parse errors. Names of times end in their unit; shares and sizes are fractions of the
+//! whole.
 
 use super::point::{Fault, Point};
 use crate::experiment::Bound;
 use serde::Deserialize;
 use std::path::Path;
 
-/// What is varied in a sweep, one at a time.
+/// The quantities that a sweep varies one at a time.
 pub const QUANTITIES: [&str; 5] = ["runners", "dispatchers", "tenants", "running", "changes"];
 
 /// A scale run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Always `scale`: what tells this file from other experiments.
+    /// Always `scale`, which distinguishes this file from other experiments.
     pub kind: String,
-    /// What it shows, in a sentence.
+    /// What the run shows, in one sentence.
     pub about: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// By how much the sizes of all points are multiplied where a check's command does not say.
+    /// The default factor for the sizes of all points in a check.
     #[serde(default = "one")]
     pub size: f64,
-    /// The whole size.
-    pub whole: Whole,
-    /// Where runners and dispatchers stand.
+    /// The full size.
+    pub whole: FullSize,
+    /// The regions, zones, racks and kinds of runners.
     pub site: Site,
-    /// What is asked for.
-    pub stream: Asked,
-    /// How dispatchers are set.
+    /// The request stream.
+    pub stream: StreamPlan,
+    /// Settings of dispatchers and runners.
     pub control: Control,
     /// The sweep.
     pub sweep: Sweep,
-    /// Points beside the sweep.
+    /// Single points beside the sweep.
     #[serde(default)]
     pub point: Vec<Point>,
-    /// Points of which one is held against another.
+    /// Pairs of points whose figures are divided.
     #[serde(default)]
     pub compare: Vec<Compare>,
-    /// What a check must keep.
+    /// The bounds of a check.
     #[serde(default)]
     pub bound: Vec<Bound>,
-    /// The main figure, `point.figure`.
+    /// The name of the main figure, `point.figure`.
     pub main: String,
 }
 
-/// The whole size of each quantity.
+/// The size of each quantity at size 1.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs, reason = "the names are the quantities'")]
-pub struct Whole {
+pub struct FullSize {
     pub runners: f64,
     pub dispatchers: f64,
     pub tenants: f64,
-    /// Requests out at once.
+    /// Requests running at once.
     pub running: f64,
     /// Changes a second.
     pub changes: f64,
@@ -66,11 +66,11 @@
 pub struct Site {
     /// The number of zones of each region.
     pub zones: Vec<usize>,
-    /// Racks in all; each stands in one zone.
+    /// The number of racks; each belongs to one zone.
     pub racks: usize,
     /// The runners' kinds.
     pub kind: Vec<Kind>,
-    /// The part of all slots that is taken by what runs at once: a runner's slots follow from it.
+    /// The share of all slots that the running requests use; the slots of a runner follow from it.
     pub load: f64,
 }
 
@@ -80,15 +80,16 @@
 #[allow(missing_docs, reason = "the names say it")]
 pub struct Kind {
     pub name: String,
-    /// Its part of all runners.
+    /// Its share of all runners.
     pub share: f64,
 }
 
-/// The stream; its rate follows from how many run at once and for how long, by Little's law.
+/// The request stream. Its rate follows by Little's law from the number of running requests and their running
+/// time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs, reason = "the names are those of `words::Stream`, which explains them")]
-pub struct Asked {
+#[allow(missing_docs, reason = "the names are those of `protocol::Stream`, which explains them")]
+pub struct StreamPlan {
     pub work_mean_s: f64,
     pub work_most_s: f64,
     pub urgent: f64,
@@ -97,40 +98,40 @@
     pub deadline_s: f64,
 }
 
-/// How dispatchers are set.
+/// Settings of dispatchers and runners.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Whether they may probe runners.
+    /// Whether dispatchers may probe runners.
     pub probing: bool,
     /// Idle time after which a runner closes a connection.
     pub conn_idle_s: f64,
-    /// The operator's file of the real ones.
+    /// The operator's file of the dispatchers.
     #[serde(default)]
     pub operator: String,
 }
 
-/// All quantities together at these sizes, and each alone with the others at a base.
+/// The sweep: all quantities together at each size, and each quantity alone with the others at a base size.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
     /// The sizes, in rising order.
     pub sizes: Vec<f64>,
-    /// The others' size where one is varied: one of the sizes.
+    /// The size of the other quantities while one is varied; one of `sizes`.
     pub base: f64,
-    /// The size of all together that a check plays too.
+    /// The size at which a check plays the point with all quantities together.
     pub check: Option<f64>,
-    /// Real dispatchers.
+    /// The number of real dispatchers.
     pub real: usize,
-    /// Time in which what is to be out at once arrives.
+    /// Time in which the requests that are to run at once arrive.
     pub fill_s: f64,
-    /// Time from then to the window.
+    /// Time from the end of the fill to the window.
     pub rest_s: f64,
     /// The window in which figures are taken.
     pub measured_s: f64,
 }
 
-/// Figures of one point over those of another.
+/// A ratio: the hollow dispatchers' figures of one point divided by the real dispatchers' of another.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs, reason = "the names say it")]
@@ -145,28 +146,28 @@
 }
 
 impl Plan {
-    /// Whether a file is a scale run's: its key `kind` tells.
+    /// Whether a file describes a scale run: it has the key `kind`.
     pub fn is_scale_run(path: &Path) -> bool {
         let text = std::fs::read_to_string(path).unwrap_or_default();
         toml::from_str::<toml::Table>(&text).is_ok_and(|table| table.contains_key("kind"))
     }
 
-    /// Reads one.
+    /// Reads a file.
     ///
     /// # Errors
     ///
-    /// Names the file and the key at fault.
+    /// Names the file and the invalid key.
     pub fn read(path: &Path) -> Result<Plan, String> {
-        let told = |e: String| format!("{}: {}", path.display(), e.replace('\n', " "));
-        let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
-        Plan::parse(&text).map_err(told)
+        let in_file = |e: String| format!("{}: {}", path.display(), e.replace('\n', " "));
+        let text = std::fs::read_to_string(path).map_err(|e| in_file(e.to_string()))?;
+        Plan::parse(&text).map_err(in_file)
     }
 
-    /// Reads one from its text.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
     ///
-    /// Names the key at fault, and what would do.
+    /// Names the invalid key and the values it may have.
     pub fn parse(text: &str) -> Result<Plan, String> {
         let toml = toml::Deserializer::parse(text).map_err(|e| e.to_string())?;
         let read: Result<Plan, _> = serde_path_to_error::deserialize(toml);
@@ -175,7 +176,7 @@
         Ok(plan)
     }
 
-    /// The points of the sweep and those beside it.
+    /// Returns the points of the sweep, then the single points.
     pub fn points(&self) -> Vec<Point> {
         let sweep = &self.sweep;
         let point = |name: String, size: f64| Point {
@@ -187,16 +188,16 @@
             measured_s: sweep.measured_s,
             ..Point::default()
         };
-        // Thousandths of the whole: a name holds no dot.
-        let part = |size: f64| (size * 1000.0).round();
+        // Names contain sizes in thousandths, since a name must not contain a dot.
+        let thousandths = |size: f64| (size * 1000.0).round();
         let all = |&size: &f64| Point {
             check: sweep.check == Some(size),
-            ..point(format!("all-{}", part(size)), size)
+            ..point(format!("all-{}", thousandths(size)), size)
         };
         let mut points: Vec<_> = sweep.sizes.iter().map(all).collect();
         for quantity in QUANTITIES {
             for &size in sweep.sizes.iter().filter(|size| **size != sweep.base) {
-                let mut point = point(format!("{quantity}-{}", part(size)), sweep.base);
+                let mut point = point(format!("{quantity}-{}", thousandths(size)), sweep.base);
                 point.set(quantity, size);
                 points.push(point);
             }
@@ -205,7 +206,7 @@
         points
     }
 
-    /// All faults of all points.
+    /// Returns the faults of all points.
     pub fn faults(&self) -> impl Iterator<Item = (&Point, &Fault)> {
         self.point.iter().flat_map(|point| point.fault.iter().map(move |fault| (point, fault)))
     }
--- a/lab/src/scale/point.rs
+++ b/lab/src/scale/point.rs
@@ -1,46 +1,45 @@
-//! One point of a scale run: its sizes, its times and its faults, and how many of each quantity that makes. It
-//! owns that reckoning, and must never start anything.
+//! A point of a scale run: its sizes, times and faults, and the absolute quantities that these give.
 
 use super::plan::Plan;
 use serde::Deserialize;
 
-/// A point.
+/// A point of a scale run, played with its own processes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Point {
-    /// Its name, to which bounds refer.
+    /// Its name, by which bounds refer to it.
     pub name: String,
-    /// The size of every quantity that is not named below.
+    /// The size of every quantity without a size of its own.
     pub size: f64,
-    /// Its own size of a quantity.
+    /// The size of the number of runners, if it differs.
     pub runners: Option<f64>,
-    /// As above.
+    /// The size of the number of dispatchers, if it differs.
     pub dispatchers: Option<f64>,
-    /// As above.
+    /// The size of the number of tenants, if it differs.
     pub tenants: Option<f64>,
-    /// As above.
+    /// The size of the number of running requests, if it differs.
     pub running: Option<f64>,
-    /// As above.
+    /// The size of the rate of changes, if it differs.
     pub changes: Option<f64>,
-    /// So many dispatchers, whatever the size.
+    /// The number of dispatchers, whatever the size.
     pub dispatchers_exactly: Option<usize>,
-    /// How many of them are real; all, where there are fewer.
+    /// The number of real dispatchers among them, also the least number of dispatchers.
     pub real: usize,
-    /// Memory that a real one is told it may use.
+    /// The memory limit that a real dispatcher is configured with.
     pub memory_mb: usize,
-    /// Descriptors that a real one is told it may hold.
+    /// The descriptor limit that a real dispatcher is configured with.
     pub sockets: usize,
-    /// Whether anything is asked for.
+    /// Whether clients send requests.
     pub requests: bool,
-    /// Time in which what is to be out at once arrives.
+    /// Time in which the requests that are to run at once arrive.
     pub fill_s: f64,
-    /// Time from then to the window.
+    /// Time from the end of the fill to the window.
     pub rest_s: f64,
     /// The window in which figures are taken.
     pub measured_s: f64,
-    /// Whether a check plays it.
+    /// Whether a check plays this point.
     pub check: bool,
-    /// What goes wrong.
+    /// Its faults.
     pub fault: Vec<Fault>,
 }
 
@@ -68,20 +67,20 @@
     }
 }
 
-/// What goes wrong, and when.
+/// A fault and its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Its name in the figures.
+    /// Its name in the names of figures.
     pub name: String,
-    /// What.
-    pub what: What,
-    /// When, from the window's begin.
+    /// What fails.
+    pub what: FaultKind,
+    /// When it begins, from the start of the window.
     pub at_s: f64,
-    /// After how long what was taken away is back.
+    /// How long it lasts.
     #[serde(default)]
     pub back_s: f64,
-    /// How many runners, dispatchers or changes; 1 if not said.
+    /// The number of runners, dispatchers or changes; 1 by default.
     #[serde(default = "one")]
     pub count: usize,
 }
@@ -90,37 +89,37 @@
     1
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// Dispatchers, a real one first, then a hollow one, killed and started again.
+pub enum FaultKind {
+    /// `count` real and as many hollow dispatchers are killed and started again.
     Dispatchers,
-    /// Runners, back cold.
+    /// The machines of `count` runners fail; the runners return cold.
     Runners,
-    /// All runners of a rack, back cold.
+    /// The machines of all runners of a rack fail; the runners return cold.
     Rack,
-    /// All runners of a zone, back cold.
+    /// The machines of all runners of a zone fail; the runners return cold.
     Zone,
-    /// The link between the regions is silent both ways.
+    /// The link between the regions loses all data in both directions.
     Link,
-    /// What goes out arrives, and nothing comes back.
+    /// The link between the regions loses the data towards the dispatchers only.
     LinkBack,
-    /// So many changes, spread over `back_s`.
+    /// `count` changes, spread over `back_s`.
     RollOut,
-    /// The publisher of the load digest, killed and started again; nothing where there is none.
+    /// The publisher of the load digest, if there is one, is killed and started again.
     Publisher,
-    /// Half of the dispatchers, real and hollow, started anew at once.
+    /// Half of the dispatchers, real and hollow, are killed and started again at once.
     Half,
 }
 
-/// How many of each.
+/// The absolute quantities of a point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[allow(missing_docs, reason = "the names are the quantities'")]
-pub struct Numbers {
+pub struct Quantities {
     pub runners: usize,
     pub dispatchers: usize,
-    /// How many of the dispatchers are real.
+    /// The number of real dispatchers.
     pub real: usize,
     pub tenants: usize,
     pub running: usize,
@@ -132,45 +131,45 @@
 }
 
 impl Point {
-    /// Gives a quantity a size of its own.
+    /// Sets the size of one quantity.
     pub fn set(&mut self, quantity: &str, size: f64) {
-        let place = match quantity {
+        let target = match quantity {
             "runners" => &mut self.runners,
             "dispatchers" => &mut self.dispatchers,
             "tenants" => &mut self.tenants,
             "running" => &mut self.running,
             _ => &mut self.changes,
         };
-        *place = Some(size);
+        *target = Some(size);
     }
 
-    /// The size of a quantity.
+    /// Returns the size of a quantity.
     pub fn size_of(&self, quantity: &str) -> f64 {
-        let own = match quantity {
+        let size = match quantity {
             "runners" => self.runners,
             "dispatchers" => self.dispatchers,
             "tenants" => self.tenants,
             "running" => self.running,
             _ => self.changes,
         };
-        own.unwrap_or(self.size)
+        size.unwrap_or(self.size)
     }
 
-    /// How many of each, all sizes times `factor`.
-    pub fn numbers(&self, plan: &Plan, factor: f64) -> Numbers {
-        let of =
+    /// Returns the absolute quantities, with all sizes multiplied by `factor`.
+    pub fn quantities(&self, plan: &Plan, factor: f64) -> Quantities {
+        let scaled =
             |quantity: &str, whole: f64| ((whole * self.size_of(quantity) * factor).round() as usize).max(1);
-        let dispatchers = self.dispatchers_exactly.unwrap_or(of("dispatchers", plan.whole.dispatchers));
-        // A smaller fleet is still one with a few real ones.
+        let dispatchers = self.dispatchers_exactly.unwrap_or(scaled("dispatchers", plan.whole.dispatchers));
+        // However small the fleet, all real dispatchers are part of it.
         let dispatchers = dispatchers.max(self.real);
-        let runners = of("runners", plan.whole.runners);
-        let running = if self.requests { of("running", plan.whole.running) } else { 0 };
-        let slots = of("running", plan.whole.running) as f64 / runners as f64 / plan.site.load;
-        Numbers {
+        let runners = scaled("runners", plan.whole.runners);
+        let running = if self.requests { scaled("running", plan.whole.running) } else { 0 };
+        let slots = scaled("running", plan.whole.running) as f64 / runners as f64 / plan.site.load;
+        Quantities {
             runners,
             dispatchers,
             real: self.real,
-            tenants: of("tenants", plan.whole.tenants),
+            tenants: scaled("tenants", plan.whole.tenants),
             running,
             changes_per_s: plan.whole.changes * self.size_of("changes") * factor,
             slots: (slots.ceil() as u32).max(2),
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -1,11 +1,11 @@
-//! All processes of a point: parts and real dispatchers, started in the order in which they need each other and
-//! stopped together. It owns them, and must never know what is asked of them.
+//! All processes of a point, the parts and the real dispatchers: started in the order of their dependencies
+//! and stopped together.
 
-use super::config::config;
-use super::part_link::Part;
+use super::config::dispatcher_config;
+use super::part_process::PartProcess;
 use super::point::Point;
-use super::publisher::{ADDRESS, Publisher};
-use super::words::{Begin, Command, Counts, Layout};
+use super::protocol::{Command, Counts, Layout, Setup};
+use super::publisher::{ADDRESS_PLACEHOLDER, Publisher};
 use crate::fleet::Dispatcher;
 use sablerun_stand_ins::program::program_path;
 use serde_json::{Value, json};
@@ -14,18 +14,19 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// What real dispatchers log: from the debug lines of discovery's link it is read when they act by a list.
-const LOGGED: &str = "info,sablerun_node::net::discovery=debug";
+/// The log filter of real dispatchers; the debug lines of the discovery link say when they adopt a version of
+/// the list.
+const LOG_FILTER: &str = "info,sablerun_node::net::discovery=debug";
 
-/// The processes.
+/// The processes of a point.
 pub struct Processes {
-    /// Who there is.
+    /// The point's layout.
     pub layout: Layout,
     /// The parts.
-    pub parts: Vec<Arc<Part>>,
-    /// The real dispatchers: the first ones of the layout.
+    pub parts: Vec<Arc<PartProcess>>,
+    /// The real dispatchers, which are the first of the layout.
     pub real: Vec<Arc<Dispatcher>>,
-    /// The publisher of a load digest, where the operator's file names one.
+    /// The publisher of a load digest, if the operator's file names one.
     pub publisher: Option<Arc<Publisher>>,
     limits: Value,
     operator: String,
@@ -33,40 +34,41 @@
 }
 
 impl Processes {
-    /// Starts them all.
+    /// Starts all processes.
     ///
     /// # Errors
     ///
-    /// Names the one that could not begin.
+    /// Names the process that could not start.
     pub async fn start(point: &Point, layout: Layout, operator: String) -> Result<Processes, String> {
         let folder = layout.folder.clone();
-        let mut begin = Begin {
+        let mut setup = Setup {
             layout: layout.clone(),
             dial: Vec::new(),
             discovery: Vec::new(),
             operator: String::new(),
         };
         let mut parts = Vec::new();
-        let (runners, ready) = Part::start("runners", &folder, &begin).await?;
+        let (runners, ready) = PartProcess::start("runners", &folder, &setup).await?;
         parts.push(Arc::new(runners));
-        begin.dial = ready.dial;
-        let (discovery, ready) = Part::start("discovery", &folder, &begin).await?;
+        setup.dial = ready.dial;
+        let (discovery, ready) = PartProcess::start("discovery", &folder, &setup).await?;
         parts.push(Arc::new(discovery));
-        begin.discovery = ready.discovery.clone();
+        setup.discovery = ready.discovery.clone();
         let control = *ready.discovery.last().ok_or("discovery: no address")?;
-        let publisher = match operator.contains(ADDRESS) {
+        let publisher = match operator.contains(ADDRESS_PLACEHOLDER) {
             true => Some(Arc::new(Publisher::start(&folder, control).await?)),
             false => None,
         };
-        let operator = publisher.as_ref().map_or(operator.clone(), |publisher| publisher.named_in(&operator));
-        begin.operator.clone_from(&operator);
+        let operator =
+            publisher.as_ref().map_or(operator.clone(), |publisher| publisher.insert_address(&operator));
+        setup.operator.clone_from(&operator);
         if layout.dispatchers.iter().any(|dispatcher| dispatcher.hollow) {
-            parts.push(Arc::new(Part::start("dispatchers", &folder, &begin).await?.0));
+            parts.push(Arc::new(PartProcess::start("dispatchers", &folder, &setup).await?.0));
         }
         let command = program_path()?;
         let real = layout.dispatchers.iter().enumerate().filter(|(_, dispatcher)| !dispatcher.hollow);
         let real = real.map(|(number, dispatcher)| {
-            Dispatcher::at_address(&command, &folder, number, dispatcher.listen, LOGGED).map(Arc::new)
+            Dispatcher::at_address(&command, &folder, number, dispatcher.listen, LOG_FILTER).map(Arc::new)
         });
         let real = real.collect::<Result<Vec<_>, _>>()?;
         let limits = json!({"cores": 1.0, "memory_mb": point.memory_mb, "sockets": point.sockets});
@@ -74,7 +76,7 @@
         let mut processes = Processes { layout, parts, real, publisher, limits, operator, discovery };
         processes.start_real().await?;
         if !processes.real.is_empty() {
-            processes.parts.push(Arc::new(Part::start("clients", &folder, &begin).await?.0));
+            processes.parts.push(Arc::new(PartProcess::start("clients", &folder, &setup).await?.0));
         }
         Ok(processes)
     }
@@ -92,20 +94,20 @@
         Ok(())
     }
 
-    /// What a hollow one is told too, with the point's limits.
+    /// Returns a real dispatcher's configuration: that of a hollow one, but with the point's limits.
     fn config(&self, number: usize, settings: &Value) -> Result<Value, String> {
         let discovery = self.discovery.get(number).ok_or_else(|| format!("n{number} has no discovery"))?;
-        let mut config = config(&self.layout, number, settings, *discovery);
+        let mut config = dispatcher_config(&self.layout, number, settings, *discovery);
         config["limits"] = self.limits.clone();
         Ok(config)
     }
 
-    /// Hands new settings to the real dispatchers: the file, and a SIGHUP.
+    /// Gives new settings to the real dispatchers: writes their files and sends a SIGHUP.
     ///
     /// # Errors
     ///
     /// Names the file that could not be written.
-    pub async fn settings_of_real(&self, settings: &Value) -> Result<(), String> {
+    pub async fn reload_real(&self, settings: &Value) -> Result<(), String> {
         for (number, dispatcher) in self.real.iter().enumerate() {
             dispatcher.configure(&self.config(number, settings)?)?;
             dispatcher.hang_up().await;
@@ -113,38 +115,38 @@
         Ok(())
     }
 
-    /// Tells every part a command; the counts by role.
+    /// Sends a command to all parts and returns their counts by role.
     ///
     /// # Errors
     ///
-    /// Names the part that could not.
-    pub async fn tell(&self, command: &Command) -> Result<BTreeMap<&'static str, Counts>, String> {
-        let mut told = JoinSet::new();
+    /// Names the part that failed.
+    pub async fn send_all(&self, command: &Command) -> Result<BTreeMap<&'static str, Counts>, String> {
+        let mut tasks = JoinSet::new();
         for part in self.parts.iter().cloned() {
             let command = command.clone();
-            told.spawn(async move { part.tell(&command).await.map(|counts| (part.role, counts)) });
+            tasks.spawn(async move { part.send(&command).await.map(|counts| (part.role, counts)) });
         }
         let mut counts = BTreeMap::new();
-        while let Some(answer) = told.join_next().await {
+        while let Some(answer) = tasks.join_next().await {
             let (role, count) = answer.map_err(|e| e.to_string())??;
             counts.insert(role, count);
         }
         Ok(counts)
     }
 
-    /// Whether all that should run does; one that was killed on purpose need not.
+    /// Checks that all processes run, but for those killed on purpose.
     ///
     /// # Errors
     ///
-    /// Names the process that has ended unasked.
-    pub async fn running(&self) -> Result<(), String> {
+    /// Names the process that exited unexpectedly.
+    pub async fn check_running(&self) -> Result<(), String> {
         for part in &self.parts {
-            if let Some(ended) = part.ended().await {
+            if let Some(ended) = part.unexpected_exit().await {
                 return Err(ended);
             }
         }
         if let Some(publisher) = &self.publisher
-            && let Some(ended) = publisher.ended().await
+            && let Some(ended) = publisher.unexpected_exit().await
         {
             return Err(ended);
         }
@@ -156,13 +158,13 @@
         Ok(())
     }
 
-    /// Stops them all.
+    /// Stops all processes.
     pub async fn stop(&self) {
         for dispatcher in &self.real {
             dispatcher.stop().await;
         }
         if let Some(publisher) = &self.publisher {
-            publisher.down().await;
+            publisher.kill().await;
         }
         for part in &self.parts {
             part.stop().await;
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,15 +1,15 @@
-//! What is kept of a scale run: points.csv, fits.csv, a page with the tables, and a chart with a panel for each
-//! slope. It owns their form; the figures and fits are made elsewhere.
+//! Writes the results of a scale run: `points.csv`, `fits.csv`, a page with tables, and for each figure a
+//! chart with a panel for each series.
 
 use super::figures::Values;
-use super::fit::{by_point, figure_of, fit, series_names};
+use super::fit::{axis_figure, by_point, fit, series_names};
 use crate::chart::Kept;
 use plotters::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::path::Path;
 
-/// The figures of the page's table, and of the charts.
+/// The figures in the page's tables and in the charts, with their titles.
 const SHOWN: [(&str, &str); 21] = [
     ("real.cpu_pct", "real dispatcher, % of a core"),
     ("hollow.cpu_pct", "hollow dispatcher, % of a core"),
@@ -34,7 +34,7 @@
     ("changes.hollow.settings_last_ms", "change of settings to the last hollow one, ms"),
 ];
 
-/// Whether a kept result is a scale run's.
+/// Whether a kept result is that of a scale run.
 pub fn is_scale(kept: &Kept) -> bool {
     kept.figures.values.keys().any(|name| name.ends_with(".size.runners"))
 }
@@ -46,17 +46,18 @@
 /// Names the file that could not be written.
 pub fn write(kept: &Kept, folder: &Path) -> Result<(), String> {
     let points = by_point(&kept.figures.values);
-    let told = |name: &str, e: &dyn std::fmt::Display| format!("{}: {e}", folder.join(name).display());
-    std::fs::create_dir_all(folder).map_err(|e| told("", &e))?;
-    let json = serde_json::to_string_pretty(kept).map_err(|e| told("result.json", &e))?;
-    std::fs::write(folder.join("result.json"), json + "\n").map_err(|e| told("result.json", &e))?;
-    points_csv(&points, &folder.join("points.csv")).map_err(|e| told("points.csv", &e))?;
-    fits_csv(&points, &folder.join("fits.csv")).map_err(|e| told("fits.csv", &e))?;
-    std::fs::write(folder.join("README.md"), page(kept, &points)).map_err(|e| told("README.md", &e))?;
+    let in_file = |name: &str, e: &dyn std::fmt::Display| format!("{}: {e}", folder.join(name).display());
+    std::fs::create_dir_all(folder).map_err(|e| in_file("", &e))?;
+    let json = serde_json::to_string_pretty(kept).map_err(|e| in_file("result.json", &e))?;
+    std::fs::write(folder.join("result.json"), json + "\n").map_err(|e| in_file("result.json", &e))?;
+    points_csv(&points, &folder.join("points.csv")).map_err(|e| in_file("points.csv", &e))?;
+    fits_csv(&points, &folder.join("fits.csv")).map_err(|e| in_file("fits.csv", &e))?;
+    std::fs::write(folder.join("README.md"), results_page(kept, &points))
+        .map_err(|e| in_file("README.md", &e))?;
     draw(kept, folder)
 }
 
-/// Draws the charts anew.
+/// Draws the charts.
 ///
 /// # Errors
 ///
@@ -68,7 +69,7 @@
             continue;
         }
         let path = folder.join(format!("{}.svg", figure.replace('.', "-")));
-        chart(&points, figure, title, &path).map_err(|e| format!("{}: {e}", path.display()))?;
+        draw_chart(&points, figure, title, &path).map_err(|e| format!("{}: {e}", path.display()))?;
     }
     Ok(())
 }
@@ -111,14 +112,14 @@
                 format!("{:.3}", fit.r2),
                 format!("{:.4}", fit.residual),
                 fit.verdict().to_owned(),
-                figure_of(quantity).to_owned(),
+                axis_figure(quantity).to_owned(),
             ])?;
         }
     }
     Ok(csv.flush()?)
 }
 
-fn page(kept: &Kept, points: &BTreeMap<String, Values>) -> String {
+fn results_page(kept: &Kept, points: &BTreeMap<String, Values>) -> String {
     let mut page = String::from("# The scale run\n\n");
     let _ = writeln!(
         page,
@@ -128,11 +129,12 @@
         kept.command, kept.revision, kept.machine
     );
     let sizes = ["size.runners", "size.dispatchers", "size.running"].map(|figure| (figure, figure));
-    let _ = writeln!(page, "| point | runners | dispatchers | running |{}", heads());
+    let _ = writeln!(page, "| point | runners | dispatchers | running |{}", column_numbers());
     let _ = writeln!(page, "|{}", " --- |".repeat(4 + SHOWN.len()));
     for (point, values) in points.iter().filter(|(_, values)| values.contains_key("size.runners")) {
-        let cell =
-            |(figure, _): &(&str, &str)| values.get(*figure).map_or("-".to_owned(), |value| short(*value));
+        let cell = |(figure, _): &(&str, &str)| {
+            values.get(*figure).map_or("-".to_owned(), |value| format_short(*value))
+        };
         let cells: Vec<_> = sizes.iter().chain(&SHOWN).map(cell).collect();
         let _ = writeln!(page, "| {point} | {} |", cells.join(" | "));
     }
@@ -150,11 +152,12 @@
     for (figure, _) in SHOWN {
         for quantity in series_names() {
             let Some(fit) = fit(points, quantity, figure) else { continue };
-            let (slope, none, residual) = (short(fit.slope), short(fit.intercept), short(fit.residual));
+            let (slope, intercept, residual) =
+                (format_short(fit.slope), format_short(fit.intercept), format_short(fit.residual));
             let verdict = fit.verdict();
             let _ = writeln!(
                 page,
-                "| {figure} | {quantity} | {slope} | {none} | {:.2} | {residual} | {verdict} |",
+                "| {figure} | {quantity} | {slope} | {intercept} | {:.2} | {residual} | {verdict} |",
                 fit.r2
             );
         }
@@ -162,11 +165,11 @@
     page
 }
 
-fn heads() -> String {
+fn column_numbers() -> String {
     (1..=SHOWN.len()).map(|number| format!(" {number} |")).collect()
 }
 
-fn short(value: f64) -> String {
+fn format_short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         size if size >= 100.0 => format!("{value:.0}"),
@@ -176,7 +179,7 @@
     }
 }
 
-fn chart(
+fn draw_chart(
     points: &BTreeMap<String, Values>,
     figure: &str,
     title: &str,
@@ -187,9 +190,10 @@
     let area = area.titled(title, ("sans-serif", 18))?;
     for (panel, quantity) in area.split_evenly((2, 3)).iter().zip(series_names()) {
         let Some(fit) = fit(points, quantity, figure) else { continue };
-        let most = |of: fn(&(f64, f64)) -> f64| fit.points.iter().map(of).fold(1e-9, f64::max) * 1.15;
-        let (right, top) = (most(|point| point.0), most(|point| point.1));
-        let caption = format!("{quantity}: {} each, R2 {:.2}, {}", short(fit.slope), fit.r2, fit.verdict());
+        let max = |of: fn(&(f64, f64)) -> f64| fit.points.iter().map(of).fold(1e-9, f64::max) * 1.15;
+        let (right, top) = (max(|point| point.0), max(|point| point.1));
+        let caption =
+            format!("{quantity}: {} each, R2 {:.2}, {}", format_short(fit.slope), fit.r2, fit.verdict());
         let mut chart = ChartBuilder::on(panel)
             .caption(caption, ("sans-serif", 13))
             .margin(8)
--- a/lab/src/scale/sample.rs
+++ b/lab/src/scale/sample.rs
@@ -1,12 +1,12 @@
-//! What the processes of a run use: memory and its parts, processor time, descriptors, from procfs. It owns the
-//! reading of one moment and the difference of two; it must never ask a process itself.
+//! The resource usage of a run's processes (memory, processor time, descriptors), read from procfs at one
+//! moment, and the processor usage between two.
 
 use super::processes::Processes;
-use super::words::now_us;
+use super::protocol::now_us;
 use procfs::process::Process;
 use std::collections::BTreeMap;
 
-/// What one process uses.
+/// The resource usage of one process.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[allow(missing_docs, reason = "the names say it")]
 pub struct Usage {
@@ -15,39 +15,39 @@
     pub anon_mb: f64,
     pub file_mb: f64,
     pub shmem_mb: f64,
-    /// Processor time since its start, as the scheduler counts it, in nanoseconds.
+    /// Processor time since its start in seconds; the scheduler counts it in nanoseconds.
     pub cpu_s: f64,
-    /// Its parts, in the kernel's ticks of 10 ms.
+    /// The processor time in user mode, counted in the kernel's ticks of 10 ms; `system_s` alike.
     pub user_s: f64,
     pub system_s: f64,
     pub descriptors: f64,
 }
 
-/// All processes at a moment, by role or by dispatcher's name.
+/// The usage of all processes at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
-    /// Microseconds of Unix time.
+    /// When it was taken, in microseconds of Unix time.
     pub at_us: u64,
-    /// By role or by dispatcher's name.
+    /// The usage by role or by the dispatcher's name.
     pub usage: BTreeMap<String, Usage>,
 }
 
-/// What one process used between two moments.
+/// The processor usage of one process between two samples.
 #[derive(Clone, Copy, Debug, Default)]
 #[allow(missing_docs, reason = "the names say it")]
-pub struct Spent {
-    /// Parts of a core, in percent.
+pub struct CpuUsage {
+    /// Percent of one core.
     pub cpu_pct: f64,
     pub user_pct: f64,
     pub system_pct: f64,
 }
 
 impl Sample {
-    /// Looks at all processes.
+    /// Samples all processes.
     pub async fn take(processes: &Processes) -> Sample {
         let mut ids: Vec<_> = processes.parts.iter().map(|part| (part.role.to_owned(), part.id)).collect();
         for (number, dispatcher) in processes.real.iter().enumerate() {
-            // One that is down has nothing.
+            // A dispatcher that is down has no process.
             if let Some(id) = dispatcher.id().await {
                 ids.push((format!("n{number}"), id));
             }
@@ -61,11 +61,12 @@
         Sample { at_us: now_us(), usage: usage.collect() }
     }
 
-    /// What a process used from this moment to a later one; nothing if it is not the same process any more.
-    pub fn spent(&self, later: &Sample, name: &str) -> Option<Spent> {
+    /// Returns the processor usage of a process from this sample to a later one; `None` if it was restarted
+    /// between them.
+    pub fn cpu_usage_until(&self, later: &Sample, name: &str) -> Option<CpuUsage> {
         let (before, after) = (self.usage.get(name)?, later.usage.get(name)?);
         let seconds = (later.at_us - self.at_us) as f64 / 1e6;
-        (before.id == after.id && seconds > 0.0).then(|| Spent {
+        (before.id == after.id && seconds > 0.0).then(|| CpuUsage {
             cpu_pct: (after.cpu_s - before.cpu_s) / seconds * 100.0,
             user_pct: (after.user_s - before.user_s) / seconds * 100.0,
             system_pct: (after.system_s - before.system_s) / seconds * 100.0,
@@ -91,7 +92,8 @@
     })
 }
 
-/// Ticks of 10 ms are coarse for a process that uses a thousandth of a core: the scheduler's count of each thread.
+/// Sums the scheduler's processor time of each thread: ticks of 10 ms are too coarse for a process that uses
+/// a thousandth of a core.
 fn cpu_s(process: &Process) -> Option<f64> {
     let mut sum = 0;
     for task in process.tasks().ok()? {
--- a/lab/src/scale/session.rs
+++ b/lab/src/scale/session.rs
@@ -1,102 +1,110 @@
-//! A whole scale run or check: which points are played and in which order, whether the machine bears them all, and
-//! what is kept. It owns that; a point is played by `play`, and judged by the bounds of the file.
+//! A scale run or its check: selects the points, checks the machine's capacity, plays the points in order and
+//! collects their figures.
 
 use super::figures::figures;
-use super::joined::Records;
 use super::machine::{Machine, raise_descriptors};
 use super::plan::Plan;
-use super::play::{How, play};
+use super::play::{PlayOptions, play};
 use super::point::Point;
+use super::record_reader::Records;
 use crate::play::{Figures, without};
 use std::path::Path;
 
-/// What a command says beside the file.
+/// The options of a command.
 #[derive(Clone, Debug, Default)]
 pub struct RunOptions {
-    /// By what all sizes are multiplied, in place of the file's.
+    /// The factor for all sizes, in place of the file's.
     pub size: Option<f64>,
-    /// In place of the file's.
+    /// The seed, in place of the file's.
     pub seed: Option<u64>,
-    /// Only these points.
+    /// The points to play; all if empty.
     pub points: Vec<String>,
-    /// Sections left out of the operator's file.
+    /// Sections to leave out of the operator's file.
     pub switch_off: Vec<String>,
-    /// Only the points of the check.
+    /// Whether to play only the points of the check.
     pub check: bool,
 }
 
-/// Plays; `tick` hears the point's name and how far the whole run is, `kept` the figures after each point.
+/// Plays the points. `tick` is called with the point's name and the progress of the run, `on_figures` with
+/// all figures so far after each point.
 ///
 /// # Errors
 ///
-/// Says what the machine does not bear, or which process failed.
+/// Names what the machine lacks, or the process that failed.
 pub async fn run_session(
     plan: &Plan,
-    asked: &RunOptions,
+    options: &RunOptions,
     folder: &Path,
     tick: impl Fn(&str, f64),
-    kept: impl Fn(&Figures) -> Result<(), String>,
+    on_figures: impl Fn(&Figures) -> Result<(), String>,
 ) -> Result<Figures, String> {
-    let factor = asked.size.unwrap_or(if asked.check { plan.size } else { 1.0 });
+    let factor = options.size.unwrap_or(if options.check { plan.size } else { 1.0 });
     if !(factor > 0.0 && factor.is_finite()) {
         return Err(format!("--size: {factor}; more than 0, e.g. 1/32"));
     }
-    let points = chosen(plan, asked)?;
+    let points = selected_points(plan, options)?;
     raise_descriptors();
-    let machine = Machine::look()?;
-    points.iter().try_for_each(|point| machine.bears(plan, point, &point.numbers(plan, factor)))?;
-    let operator = without(&plan.control.operator, &asked.switch_off)?;
-    let seed = asked.seed.unwrap_or(plan.seed);
+    let machine = Machine::inspect()?;
+    points
+        .iter()
+        .try_for_each(|point| machine.check_capacity(plan, point, &point.quantities(plan, factor)))?;
+    let operator = without(&plan.control.operator, &options.switch_off)?;
+    let seed = options.seed.unwrap_or(plan.seed);
     let length = |point: &Point| point.fill_s + point.rest_s + point.measured_s + 7.0;
     let total: f64 = points.iter().map(length).sum();
-    let (mut all, mut before) = (Figures::default(), 0.0);
+    let (mut figures_so_far, mut elapsed) = (Figures::default(), 0.0);
     for point in &points {
-        let told = |part: f64| tick(&point.name, (before + part * length(point)) / total);
-        let how = How { factor, seed, folder, operator: &operator };
-        let named = |e: String| format!("point {}: {e}", point.name);
-        let played = play(plan, point, &how, told).await.map_err(named)?;
-        let mut records = Records::read(&played.layout.folder).map_err(named)?;
+        let report_progress = |part: f64| tick(&point.name, (elapsed + part * length(point)) / total);
+        let play_options = PlayOptions { factor, seed, folder, operator: &operator };
+        let in_point = |e: String| format!("point {}: {e}", point.name);
+        let played = play(plan, point, &play_options, report_progress).await.map_err(in_point)?;
+        let mut records = Records::read(&played.layout.folder).map_err(in_point)?;
         let killed = played.faults.iter().flat_map(|fault| {
             fault.killed.iter().map(|dispatcher| (*dispatcher, fault.at_us, fault.back_us))
         });
-        records.lose(&killed.collect::<Vec<_>>());
+        records.mark_lost(&killed.collect::<Vec<_>>());
         for (name, value) in figures(&played, &records) {
-            all.values.insert(format!("{}.{name}", point.name), value);
+            figures_so_far.values.insert(format!("{}.{name}", point.name), value);
         }
-        compare(plan, &mut all);
-        kept(&all)?;
-        before += length(point);
+        add_ratios(plan, &mut figures_so_far);
+        on_figures(&figures_so_far)?;
+        elapsed += length(point);
     }
-    Ok(all)
+    Ok(figures_so_far)
 }
 
-/// The points to play.
-fn chosen(plan: &Plan, asked: &RunOptions) -> Result<Vec<Point>, String> {
+/// Returns the points to play.
+fn selected_points(plan: &Plan, options: &RunOptions) -> Result<Vec<Point>, String> {
     let all = plan.points();
-    if let Some(name) = asked.points.iter().find(|name| all.iter().all(|point| point.name != **name)) {
+    if let Some(name) = options.points.iter().find(|name| all.iter().all(|point| point.name != **name)) {
         let names: Vec<_> = all.iter().map(|point| point.name.as_str()).collect();
         return Err(format!("--point: there is no {name:?}; there are: {}", names.join(", ")));
     }
     let wanted = |point: &Point| {
-        if asked.points.is_empty() { !asked.check || point.check } else { asked.points.contains(&point.name) }
+        if options.points.is_empty() {
+            !options.check || point.check
+        } else {
+            options.points.contains(&point.name)
+        }
     };
     Ok(all.into_iter().filter(wanted).collect())
 }
 
-/// Figures of hollow dispatchers over those of real ones.
-fn compare(plan: &Plan, all: &mut Figures) {
+/// Adds the ratios of hollow dispatchers' figures to those of real ones.
+fn add_ratios(plan: &Plan, all: &mut Figures) {
     for compare in &plan.compare {
-        let own = |point: &str, side: &str| {
+        let figures_of_side = |point: &str, side: &str| {
             let prefix = format!("{point}.");
             let figures = all.values.iter().filter_map(|(name, value)| {
                 let figure = name.strip_prefix(&prefix)?;
-                // The side is a word of its own anywhere in a figure's name.
+                // The side may be any of the name's words.
                 let words: Vec<_> = figure.split('.').filter(|word| *word != side).collect();
                 (words.len() < figure.split('.').count()).then(|| (words.join("."), *value))
             });
             figures.collect::<std::collections::BTreeMap<_, _>>()
         };
-        let (real, hollow) = (own(&compare.real, "real"), own(&compare.hollow, "hollow"));
+        let (real, hollow) =
+            (figures_of_side(&compare.real, "real"), figures_of_side(&compare.hollow, "hollow"));
         for (name, real) in real {
             if let Some(hollow) = hollow.get(&name).filter(|_| real != 0.0) {
                 all.values.insert(format!("{}.{name}", compare.name), hollow / real);
@@ -105,15 +113,17 @@
     }
 }
 
-/// A size as a command says it: a decimal, or a fraction such as 1/32.
+/// Parses a size of the command line: a decimal, or a fraction such as 1/32.
 ///
 /// # Errors
 ///
-/// Says what would do.
+/// Names the values it may have.
 pub fn parse_size(text: &str) -> Result<f64, String> {
     let number = |text: &str| text.trim().parse::<f64>().ok();
     let size = match text.split_once('/') {
-        Some((over, under)) => number(over).zip(number(under)).map(|(over, under)| over / under),
+        Some((numerator, denominator)) => {
+            number(numerator).zip(number(denominator)).map(|(numerator, denominator)| numerator / denominator)
+        }
         None => number(text),
     };
     size.filter(|size| *size > 0.0 && size.is_finite())
--- a/lab/src/scale/steps.rs
+++ b/lab/src/scale/steps.rs
@@ -1,28 +1,28 @@
-//! How long single decisions take, by the kind of what they are about. It owns the histograms and the names of
-//! their figures; it must never time anything itself.
+//! Histograms of the durations of single steps of the reducer, by kind of input, and their figures. Measures
+//! nothing itself.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest time told apart.
-const LONGEST_NS: u64 = 60_000_000_000;
+/// The longest duration that the histograms resolve.
+const MAX_STEP_NS: u64 = 60_000_000_000;
 
-/// The times of steps, by kind of input.
+/// The durations of steps, by kind of input.
 #[derive(Clone, Debug, Default)]
-pub struct Steps(BTreeMap<&'static str, Histogram<u64>>);
+pub struct StepTimes(BTreeMap<&'static str, Histogram<u64>>);
 
-impl Steps {
-    /// A step on an input of this kind took so long.
-    pub fn record(&mut self, input: &'static str, took: Duration) {
+impl StepTimes {
+    /// Records the duration of a step on an input of this kind.
+    pub fn record(&mut self, input: &'static str, duration: Duration) {
         let times = self.0.entry(input).or_insert_with(|| {
-            Histogram::new_with_bounds(1, LONGEST_NS, 2).expect("the bounds are in order")
+            Histogram::new_with_bounds(1, MAX_STEP_NS, 2).expect("the bounds are in order")
         });
-        times.saturating_record(took.as_nanos() as u64);
+        times.saturating_record(duration.as_nanos() as u64);
     }
 
-    /// Adds what another thread has seen.
-    pub fn add(&mut self, others: &Steps) {
+    /// Adds the durations of another thread.
+    pub fn add(&mut self, others: &StepTimes) {
         for (input, times) in &others.0 {
             match self.0.get_mut(input) {
                 Some(own) => own.add(times).expect("all have the same bounds"),
@@ -31,9 +31,10 @@
         }
     }
 
-    /// Figures by name: `decision.KIND.count`, `.mean_us`, `.p50_us`, `.p99_us`, `.max_us`, and the same of `all`.
+    /// Returns the figures `decision.KIND.count`, `.mean_us`, `.p50_us`, `.p99_us`, `.max_us`, and the same
+    /// of `all`.
     pub fn figures(&self) -> Vec<(String, f64)> {
-        let mut all = Histogram::new_with_bounds(1, LONGEST_NS, 2).expect("the bounds are in order");
+        let mut all = Histogram::new_with_bounds(1, MAX_STEP_NS, 2).expect("the bounds are in order");
         self.0.values().for_each(|times| all.add(times).expect("all have the same bounds"));
         let kinds = self.0.iter().map(|(input, times)| (*input, times)).chain([("all", &all)]);
         let figures = kinds.flat_map(|(kind, times)| {
--- a/lab/tests/acts.rs
+++ b/lab/tests/adoptions.rs
@@ -1,6 +1,6 @@
 //! What the run reads out of real dispatchers' logs.
 
-use sablerun_lab::scale::acts::acts_of_log;
+use sablerun_lab::scale::adoptions::adoptions_in_log;
 
 #[test]
 fn lists_and_settings_are_read_with_their_times() {
@@ -25,5 +25,5 @@
         act("settings", 1, 2_501_000),
         act("settings", 2, 5_000_000),
     ];
-    assert_eq!(acts_of_log(log), due);
+    assert_eq!(adoptions_in_log(log), due);
 }
--- a/lab/tests/common/part.rs
+++ b/lab/tests/common/part.rs
@@ -1,6 +1,6 @@
 //! A part of the scale run as a process that a test talks to.
 
-use sablerun_lab::scale::words::{Begin, Command, Counts, Ready};
+use sablerun_lab::scale::protocol::{Command, Counts, Ready, Setup};
 use serde::de::DeserializeOwned;
 use std::io::{BufRead, BufReader, Lines, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Stdio};
@@ -30,7 +30,7 @@
         serde_json::from_str(&self.from.next().unwrap().unwrap()).unwrap()
     }
 
-    pub fn begin(&mut self, begin: &Begin) -> Ready {
+    pub fn begin(&mut self, begin: &Setup) -> Ready {
         let ready: Ready = self.say(&serde_json::to_string(begin).unwrap());
         assert_eq!(ready.error, None);
         ready
--- a/lab/tests/common/scene.rs
+++ b/lab/tests/common/scene.rs
@@ -1,7 +1,7 @@
 //! A small layout for tests of the scale run, with hollow runners and discovery of its own.
 
 use super::part::Part;
-use sablerun_lab::scale::words::{Begin, Command, Dispatcher, Layout, Runner, Stream, Zone};
+use sablerun_lab::scale::protocol::{Command, Dispatcher, Layout, Runner, Setup, Stream, Zone};
 use sablerun_stand_ins::installation::Class;
 use sablerun_stand_ins::program::{free_port, settings_for};
 use serde_json::json;
@@ -51,13 +51,13 @@
     pub runners: Part,
     pub discovery: Part,
     /// What other parts begin with.
-    pub begin: Begin,
+    pub begin: Setup,
 }
 
 impl Stage {
     pub fn start(layout: &Layout) -> Stage {
         let (mut runners, mut discovery) = (Part::start("runners"), Part::start("discovery"));
-        let mut begin = Begin {
+        let mut begin = Setup {
             layout: layout.clone(),
             dial: Vec::new(),
             discovery: Vec::new(),
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -1,7 +1,8 @@
-//! Hollow dispatchers mean the same: the same few dispatchers, played as real processes and as hollow ones between
-//! the same hollow runners, bring about the same messages. Compared is what doesn't depend on chance: which runner a
-//! request goes to, how many connections that takes, and whatever a stalled machine repeats (a call-back's further
-//! tries, a watch that counts as silent and is asked for again) are left out; settings allow one try only, so that each request is sent once.
+//! Hollow dispatchers mean the same: the same few dispatchers, played as real processes and as hollow ones
+//! between the same hollow runners, bring about the same messages. Compared is what doesn't depend on chance:
+//! which runner a request goes to, how many connections that takes, and whatever a stalled machine repeats (a
+//! call-back's further tries, a watch that counts as silent and is asked for again) are left out; settings
+//! allow one try only, so that each request is sent once.
 
 #[path = "common/part.rs"]
 mod part;
@@ -9,10 +10,10 @@
 mod scene;
 
 use part::Part;
-use sablerun_lab::scale::acts::acts_of_log;
-use sablerun_lab::scale::config::config;
+use sablerun_lab::scale::adoptions::adoptions_in_log;
+use sablerun_lab::scale::config::dispatcher_config;
+use sablerun_lab::scale::protocol::{Adoption, Command, Counts, Layout, Request, Stream};
 use sablerun_lab::scale::stream::Arrivals;
-use sablerun_lab::scale::words::{Act, Command, Counts, Layout, Request, Stream};
 use sablerun_stand_ins::http;
 use sablerun_stand_ins::program::program_path;
 use scene::Stage;
@@ -67,7 +68,7 @@
 
     fn write(&self, layout: &Layout, settings: &Value) {
         for number in 0..layout.dispatchers.len() {
-            let text = config(layout, number, settings, self.discovery[number]).to_string();
+            let text = dispatcher_config(layout, number, settings, self.discovery[number]).to_string();
             std::fs::write(self.folder.join(format!("{number}.json")), text).unwrap();
         }
     }
@@ -139,13 +140,13 @@
         Some(real) => (0..DISPATCHERS)
             .flat_map(|n| {
                 let log = std::fs::read_to_string(real.log(n)).unwrap();
-                acts_of_log(&log).into_iter().map(move |(what, version, _)| (n, what, version))
+                adoptions_in_log(&log).into_iter().map(move |(what, version, _)| (n, what, version))
             })
             .collect::<Acted>(),
         None => {
             part.command(&Command::Count);
             let mut rows = csv::Reader::from_path(layout.folder.join("acts.csv")).unwrap();
-            let rows = rows.deserialize().map(Result::<Act, _>::unwrap);
+            let rows = rows.deserialize().map(Result::<Adoption, _>::unwrap);
             rows.map(|act| (act.dispatcher, act.what, act.version)).collect()
         }
     };
--- a/lab/tests/hollow_kill.rs
+++ b/lab/tests/hollow_kill.rs
@@ -1,16 +1,16 @@
-//! A hollow dispatcher that is killed: nothing of it goes on. Alone in its file, since it counts the process's
-//! descriptors.
+//! A hollow dispatcher that is killed: nothing of it goes on. Alone in its file, since it counts the
+//! process's descriptors.
 
 #[path = "common/part.rs"]
 mod part;
 #[path = "common/scene.rs"]
 mod scene;
 
-use sablerun_lab::scale::config::config;
-use sablerun_lab::scale::hollow::{Hollow, Shared};
-use sablerun_lab::scale::records::{Acts, Answers};
+use sablerun_lab::scale::config::dispatcher_config;
+use sablerun_lab::scale::hollow::{Hollow, ThreadContext};
+use sablerun_lab::scale::protocol::{Command, Request, Stream};
+use sablerun_lab::scale::record_writers::{AdoptionLog, RequestLog};
 use sablerun_lab::scale::stream::Arrivals;
-use sablerun_lab::scale::words::{Command, Request, Stream};
 use sablerun_node::operator::Operator;
 use scene::Stage;
 use std::cell::RefCell;
@@ -38,30 +38,35 @@
         layout.stream = Stream { fill: 5, fill_s: 0.0, work_mean_s: 3600.0, ..layout.stream };
         let mut stage = Stage::start(&layout);
         let discovery = stage.begin.discovery[0];
-        let answers = Answers::create(&layout.folder, "requests.csv", Duration::from_secs(3600)).unwrap();
-        let acts = Acts::create(&layout.folder, "acts.csv").unwrap();
+        let requests = RequestLog::create(&layout.folder, "requests.csv", Duration::from_secs(3600)).unwrap();
+        let adoptions = AdoptionLog::create(&layout.folder, "acts.csv").unwrap();
         let (steps, tenants) = (RefCell::default(), true);
-        let shared =
-            Rc::new(Shared { answers: answers.clone(), acts, steps, operator: Operator::default(), tenants });
-        let text = || config(&layout, 0, &layout.settings, discovery);
+        let shared = Rc::new(ThreadContext {
+            requests: requests.clone(),
+            adoptions,
+            steps,
+            operator: Operator::default(),
+            tenants,
+        });
+        let text = || dispatcher_config(&layout, 0, &layout.settings, discovery);
         let before = descriptors();
 
         for round in 1..=2u64 {
             let hollow = Hollow::start(&shared, 0, text()).await.unwrap();
             let arrivals = || Arrivals::new(&layout.stream, layout.seed + round, 0, 1.0);
             assert_eq!(arrivals().count(), 5);
-            arrivals().for_each(|arrival| hollow.arrived(arrival));
+            arrivals().for_each(|arrival| hollow.submit(arrival));
             let mut counted = |what: &str| stage.counted(true)[what];
             until("all run", async || counted("started") == 5.0 * round as f64).await;
-            until("all known to run", async || hollow.held().await.accepted > 0).await;
-            let held = hollow.held().await;
-            assert_eq!(held.open, 5);
-            assert!(held.runners > 0);
+            until("all known to run", async || hollow.open_counts().await.accepted > 0).await;
+            let counts = hollow.open_counts().await;
+            assert_eq!(counts.open, 5);
+            assert!(counts.runners > 0);
             assert!(descriptors() > before);
 
             hollow.kill().await;
             assert!(TcpStream::connect(layout.dispatchers[0].listen).is_err(), "its listener is closed");
-            let counts = answers.counts();
+            let counts = requests.counts();
             assert_eq!((counts["requests.cut"], counts["requests.out"]), (5.0 * round as f64, 0.0));
             // What holds the runtime, the links and every task holds this too.
             drop(hollow);
@@ -79,7 +84,7 @@
         }
         // Nor do the cores hear that clients left them.
         assert!(!shared.steps.borrow().figures().iter().any(|(name, _)| name.contains("client_gone")));
-        answers.flush().unwrap();
+        requests.flush().unwrap();
         let mut rows = csv::Reader::from_path(layout.folder.join("requests.csv")).unwrap();
         let rows: Vec<Request> = rows.deserialize().map(Result::unwrap).collect();
         assert_eq!(rows.len(), 10);
--- a/lab/tests/parts.rs
+++ b/lab/tests/parts.rs
@@ -4,8 +4,8 @@
 mod part;
 
 use part::Part;
-use sablerun_lab::scale::words::{
-    Begin, Command, Counts, Dispatcher, Layout, Ready, Runner, Start, Way, Zone, view,
+use sablerun_lab::scale::protocol::{
+    Command, Counts, CutDirection, Dispatcher, Layout, Ready, Runner, Setup, Start, Zone, view,
 };
 use sablerun_stand_ins::http::{self, Message};
 use serde_json::json;
@@ -43,7 +43,7 @@
     let starts = layout.folder.join("starts.csv");
     let mut part = Part::start("runners");
     let ready =
-        part.begin(&Begin { layout, dial: Vec::new(), discovery: Vec::new(), operator: String::new() });
+        part.begin(&Setup { layout, dial: Vec::new(), discovery: Vec::new(), operator: String::new() });
     assert_eq!(ready.dial.iter().map(Vec::len).collect::<Vec<_>>(), [5, 5]);
 
     let own = view(1, true);
@@ -60,7 +60,7 @@
     assert_eq!((counts.values["hollow.running_now"], counts.values["hollow.lost"]), (0.0, 1.0));
     part.command(&Command::RunnersUp { runners: vec![1] });
     assert_eq!(post(2), 202);
-    part.command(&Command::Link { cut: Some(Way::Back) });
+    part.command(&Command::Link { cut: Some(CutDirection::Back) });
     part.command(&Command::Link { cut: None });
     // What is not a runner's concern changes nothing.
     part.command(&Command::Play);
@@ -87,7 +87,7 @@
     layout.settings["kinds"] = json!(["k4-full"]);
     let dial = |runner: u16| (0..5).map(move |view| SocketAddr::from(([10, 0, 0, 1], 100 * runner + view)));
     let dial: Vec<Vec<SocketAddr>> = (1..=2).map(|runner| dial(runner).collect()).collect();
-    let begin = Begin { layout, dial, discovery: Vec::new(), operator: String::new() };
+    let begin = Setup { layout, dial, discovery: Vec::new(), operator: String::new() };
     let mut part = Part::start("discovery");
     let ready = part.begin(&begin);
     assert_eq!(ready.discovery.len(), 2, "the dispatcher's address, and control's");
@@ -115,7 +115,7 @@
     assert_eq!(counts.values["control.whole_lists"], 1.0);
 
     let mut part = Part::start("discovery");
-    let begin = Begin { dial: Vec::new(), ..begin };
+    let begin = Setup { dial: Vec::new(), ..begin };
     let ready: Ready = part.say(&serde_json::to_string(&begin).unwrap());
     assert!(ready.error.unwrap().contains("dial"));
 }
--- a/lab/tests/publisher.rs
+++ b/lab/tests/publisher.rs
@@ -1,6 +1,6 @@
 //! What a publisher's log says that it told, in a stretch of time.
 
-use sablerun_lab::scale::publisher::{Told, told};
+use sablerun_lab::scale::publisher::{Published, published_between};
 
 #[test]
 fn frames_and_wholes_within_a_stretch_are_added_up() {
@@ -15,7 +15,7 @@
 ";
     let second = 1_000_000;
     let start = "2026-12-02T05:00:00Z".parse::<jiff::Timestamp>().unwrap().as_microsecond() as u64;
-    let all = Told { frames: 240.0, count: 2.0, wholes: 3000.0 };
-    assert_eq!(told(log, start + second, start + 3 * second), all);
-    assert_eq!(told("", start, start + second), Told::default());
+    let all = Published { frames: 240.0, count: 2.0, wholes: 3000.0 };
+    assert_eq!(published_between(log, start + second, start + 3 * second), all);
+    assert_eq!(published_between("", start, start + second), Published::default());
 }
--- a/lab/tests/scale_figures.rs
+++ b/lab/tests/scale_figures.rs
@@ -1,24 +1,27 @@
 //! What a scale run makes of its records: lines, delays of changes, sizes as a command says them.
 
 use sablerun_lab::scale::changes::Change;
-use sablerun_lab::scale::delays::{delays, of_real};
-use sablerun_lab::scale::figures::starts;
-use sablerun_lab::scale::fit::{by_point, line, series};
-use sablerun_lab::scale::joined::Joined;
+use sablerun_lab::scale::delays::{adoptions_of_real, delays};
+use sablerun_lab::scale::figures::start_delays;
+use sablerun_lab::scale::fit::{by_point, least_squares, series};
+use sablerun_lab::scale::protocol::Request;
+use sablerun_lab::scale::record_reader::JoinedRequest;
 use sablerun_lab::scale::session::parse_size;
-use sablerun_lab::scale::words::Request;
 use std::collections::BTreeMap;
 
 #[test]
 fn a_line_is_found_and_what_is_none_is_flagged() {
-    let straight = line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)]).unwrap();
+    let straight = least_squares(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)]).unwrap();
     assert!((straight.slope - 2.0).abs() < 1e-9 && (straight.intercept - 3.0).abs() < 1e-9);
     assert!(straight.r2 > 0.999_999 && straight.residual < 1e-9);
     assert_eq!(straight.verdict(), "line");
-    assert_eq!(line(&[(1.0, 1.0), (2.0, 9.0), (3.0, 2.0), (4.0, 8.0)]).unwrap().verdict(), "no line");
-    assert_eq!(line(&[(1.0, 10.0), (2.0, 10.4), (3.0, 9.8)]).unwrap().verdict(), "flat");
-    assert!(line(&[(1.0, 1.0), (2.0, 2.0)]).is_none(), "two points are always on a line");
-    assert!(line(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]).is_none(), "no spread");
+    assert_eq!(
+        least_squares(&[(1.0, 1.0), (2.0, 9.0), (3.0, 2.0), (4.0, 8.0)]).unwrap().verdict(),
+        "no line"
+    );
+    assert_eq!(least_squares(&[(1.0, 10.0), (2.0, 10.4), (3.0, 9.8)]).unwrap().verdict(), "flat");
+    assert!(least_squares(&[(1.0, 1.0), (2.0, 2.0)]).is_none(), "two points are always on a line");
+    assert!(least_squares(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]).is_none(), "no spread");
 }
 
 #[test]
@@ -54,7 +57,7 @@
     let at = |s: f64| midnight + 5 * 3600 * second + (s * 1e6) as u64;
     let change = |what, version, s| Change { what, version, at_us: at(s) };
     let changes = [change("list", 2, 1.5), change("list", 9, 2.05), change("settings", 1, 3.0)];
-    let acts = of_real(4, log, &changes);
+    let acts = adoptions_of_real(4, log, &changes);
     assert_eq!(acts.len(), 3);
     assert_eq!(acts[0].at_us, at(1.25));
     // Version 3 brings 2; 9 was overtaken, so nobody acted by it.
@@ -62,7 +65,7 @@
     assert_eq!((list.ms.clone(), list.never), (vec![500.0], 1));
     let settings = delays(&changes, &acts, "settings", &[4, 5]);
     assert_eq!((settings.ms.clone(), settings.never), (vec![1500.0], 1));
-    assert_eq!(settings.at(1.0), 1500.0);
+    assert_eq!(settings.quantile(1.0), 1500.0);
 }
 
 #[test]
@@ -74,7 +77,7 @@
     }
 }
 
-fn request(taken_us: u64, started_us: Option<u64>, answered_us: u64, answer: &str) -> Joined {
+fn request(taken_us: u64, started_us: Option<u64>, answered_us: u64, answer: &str) -> JoinedRequest {
     let request = Request {
         id: "0000000000000000".to_owned(),
         dispatcher: 0,
@@ -86,7 +89,7 @@
         answered_us,
         answer: answer.to_owned(),
     };
-    Joined { request, started_us, starts: started_us.map(|at| (at, 0)).into_iter().collect() }
+    JoinedRequest { request, started_us, starts: started_us.map(|at| (at, 0)).into_iter().collect() }
 }
 
 #[test]
@@ -100,7 +103,7 @@
         request(2_000_000, Some(9_000_000), 9_500_000, "served"),
     ];
     let mut values = BTreeMap::new();
-    starts(&requests, (0, 1_000_000), &mut values);
+    start_delays(&requests, (0, 1_000_000), &mut values);
     let near = |figure: &str, value: f64| {
         let told = values[figure];
         assert!((told - value).abs() <= value * 0.002, "{figure}: {told} for {value}");
@@ -115,6 +118,6 @@
     near("start.all_count", 3.0);
     requests.clear();
     let mut none = BTreeMap::new();
-    starts(&requests, (0, 1_000_000), &mut none);
+    start_delays(&requests, (0, 1_000_000), &mut none);
     assert!(!none.contains_key("start.all_p99_ms"));
 }
--- a/lab/tests/scale_plan.rs
+++ b/lab/tests/scale_plan.rs
@@ -1,6 +1,6 @@
 //! A scale run's file: what it turns down, by key and with what would do, and what a point's numbers are.
 
-use sablerun_lab::scale::layout::layout;
+use sablerun_lab::scale::layout::build_layout;
 use sablerun_lab::scale::machine::Machine;
 use sablerun_lab::scale::plan::Plan;
 use std::path::Path;
@@ -22,16 +22,16 @@
     let named = |name: &str| points.iter().find(|point| point.name == name).unwrap();
     // All together, and each of five quantities alone, whose base is one of those.
     assert_eq!(points.iter().filter(|point| point.name.ends_with("-125")).count(), 6);
-    let whole = named("all-1000").numbers(&plan, 1.0);
+    let whole = named("all-1000").quantities(&plan, 1.0);
     assert_eq!((whole.runners, whole.dispatchers, whole.tenants, whole.running), (680, 300, 300, 13_000));
     assert_eq!((whole.rate_per_s, whole.real), (200.0, 5));
     let slots = f64::from(whole.slots) * 680.0;
     assert!((0.84..=0.91).contains(&(13_000.0 / slots)), "{slots} slots");
-    let alone = named("runners-1000").numbers(&plan, 1.0);
+    let alone = named("runners-1000").quantities(&plan, 1.0);
     assert_eq!((alone.runners, alone.dispatchers, alone.running), (680, 75, 3250));
-    let small = named("all-1000").numbers(&plan, 1.0 / 32.0);
+    let small = named("all-1000").quantities(&plan, 1.0 / 32.0);
     assert_eq!((small.runners, small.dispatchers, small.running), (21, 9, 406));
-    assert_eq!(named("idle").numbers(&plan, 1.0).running, 0);
+    assert_eq!(named("idle").quantities(&plan, 1.0).running, 0);
 }
 
 #[test]
@@ -67,22 +67,22 @@
     let plan = Plan::parse(&text()).unwrap();
     let points = plan.points();
     let whole = points.iter().find(|point| point.name == "all-1000").unwrap();
-    let numbers = whole.numbers(&plan, 1.0);
+    let numbers = whole.quantities(&plan, 1.0);
     let large = Machine { memory_mb: 1e6, descriptors: 20_000.0 };
-    assert_eq!(large.bears(&plan, whole, &numbers), Ok(()));
+    assert_eq!(large.check_capacity(&plan, whole, &numbers), Ok(()));
     let poor = Machine { memory_mb: 800.0, descriptors: 20_000.0 };
-    let told = poor.bears(&plan, whole, &numbers).unwrap_err();
+    let told = poor.check_capacity(&plan, whole, &numbers).unwrap_err();
     assert!(told.starts_with("point.all-1000.size: 1 needs ") && told.ends_with(" would do"), "{told}");
     let narrow = Machine { memory_mb: 1e6, descriptors: 6000.0 };
-    let told = narrow.bears(&plan, whole, &numbers).unwrap_err();
+    let told = narrow.check_capacity(&plan, whole, &numbers).unwrap_err();
     assert!(told.starts_with("point.all-1000.running: 1 needs "), "{told}");
     // What would do does.
     let would: f64 = told.rsplit("; ").next().unwrap().trim_end_matches(" would do").parse().unwrap();
     let mut less = whole.clone();
     less.set("running", would);
-    assert_eq!(narrow.bears(&plan, &less, &less.numbers(&plan, 1.0)), Ok(()));
+    assert_eq!(narrow.check_capacity(&plan, &less, &less.quantities(&plan, 1.0)), Ok(()));
     let tiny = Machine { memory_mb: 1e6, descriptors: 512.0 };
-    let told = tiny.bears(&plan, whole, &numbers).unwrap_err();
+    let told = tiny.check_capacity(&plan, whole, &numbers).unwrap_err();
     assert_eq!(told, "point.all-1000.sockets: 4096, a process may hold 512; 512 would do");
 }
 
@@ -91,8 +91,8 @@
     let plan = Plan::parse(&text()).unwrap();
     let points = plan.points();
     let whole = points.iter().find(|point| point.name == "all-1000").unwrap();
-    let numbers = whole.numbers(&plan, 1.0);
-    let layout = layout(&plan, whole, &numbers, 7, Path::new("nowhere")).unwrap();
+    let numbers = whole.quantities(&plan, 1.0);
+    let layout = build_layout(&plan, whole, &numbers, 7, Path::new("nowhere")).unwrap();
     for rack in 0..20 {
         let own: Vec<_> = layout.runners.iter().filter(|runner| runner.rack == rack).collect();
         assert_eq!(own.len(), 34);
--- a/lab/tests/stream.rs
+++ b/lab/tests/stream.rs
@@ -1,8 +1,8 @@
-//! The stream of requests of the scale run: what it promises of rates, shares and sameness. Seeds are fixed, so
-//! each run draws the same.
+//! The stream of requests of the scale run: what it promises of rates, shares and sameness. Seeds are fixed,
+//! so each run draws the same.
 
+use sablerun_lab::scale::protocol::Stream;
 use sablerun_lab::scale::stream::{Arrival, Arrivals};
-use sablerun_lab::scale::words::Stream;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
