--- a/lab/src/scale/checks.rs
+++ b/lab/src/scale/checks.rs
@@ -61,15 +61,9 @@
         }
     }
     names.extend(plan.compare.iter().map(|compare| compare.name.clone()));
-    let of_known_name = |figure: &str| names.iter().any(|name| figure.starts_with(&format!("{name}.")));
-    match plan
-        .bound
-        .iter()
-        .map(|bound| &bound.figure)
-        .chain([&plan.main])
-        .find(|figure| !of_known_name(figure))
-    {
-        Some(figure) => Err(format!("{figure}: of no point")),
+    let known = |figure: &str| names.iter().any(|name| figure.starts_with(&format!("{name}.")));
+    match plan.bound.iter().map(|bound| &bound.figure).chain([&plan.main]).find(|figure| !known(figure)) {
+        Some(figure) => Err(format!("{figure}: belongs to no point")),
         None => Ok(()),
     }
 }
@@ -96,7 +90,7 @@
     for point in plan.points() {
         let key = |key: &str| format!("point.{}.{key}", point.name);
         if point.name.is_empty() || point.name.contains('.') || !names.insert(point.name.clone()) {
-            return Err(format!("point.name: {:?} is empty, holds a dot, or stands twice", point.name));
+            return Err(format!("point.name: {:?} is empty, contains a dot, or is a duplicate", point.name));
         }
         require_positive(&key("size"), point.size)?;
         for quantity in super::plan::QUANTITIES {
@@ -114,7 +108,10 @@
             require_non_negative(&key.replace("at_s", "back_s"), fault.back_s)?;
             if fault.at_s + fault.back_s > point.measured_s {
                 let max_at_s = (point.measured_s - fault.back_s).max(0.0);
-                return Err(format!("{key}: {} leaves no time to be back; at most {max_at_s}", fault.at_s));
+                return Err(format!(
+                    "{key}: {} leaves no time for the fault to end; at most {max_at_s}",
+                    fault.at_s
+                ));
             }
         }
     }
--- a/lab/src/scale/control.rs
+++ b/lab/src/scale/control.rs
@@ -20,7 +20,7 @@
         let lists = discovery("bytes_out.lists");
         let changes = discovery("bytes_out.changes");
         let empty = discovery("bytes_out.empty_lines");
-        let asked = discovery("bytes_in");
+        let requests = discovery("bytes_in");
         let probes = runners("bytes_in.probes") + runners("bytes_out.probes");
         // Load reports in answers to probes and in call-backs share one counter. All have the same length, so
         // the call-backs' part of the bytes is their part of the number.
@@ -28,7 +28,7 @@
         let reports = runners("bytes_out.reports") * ended / (probed + ended).max(1e-9);
         let reloads = settings_rates(played);
         let digest = digest_rates(played);
-        let bytes = lists + changes + empty + asked + probes + reports + reloads.0 + digest.0;
+        let bytes = lists + changes + empty + requests + probes + reports + reloads.0 + digest.0;
         let messages = discovery("whole_lists")
             + discovery("changes")
             + discovery("empty_lines")
@@ -43,7 +43,7 @@
             ("bytes_lists_per_s", lists),
             ("bytes_changes_per_s", changes),
             ("bytes_empty_lines_per_s", empty),
-            ("bytes_asked_per_s", asked),
+            ("bytes_asked_per_s", requests),
             ("bytes_probes_per_s", probes),
             ("bytes_reports_in_callbacks_per_s", reports),
             ("bytes_settings_per_s", reloads.0),
@@ -59,8 +59,8 @@
 fn digest_rates(played: &PlayedPoint) -> (f64, f64) {
     let (from, to) = (played.samples[0].at_us, played.samples[1].at_us);
     let (seconds, published) = ((to - from) as f64 / 1e6, published_between(&played.publisher_log, from, to));
-    let wholes = published.wholes / played.layout.dispatchers.len() as f64;
-    ((published.frames + wholes) / seconds, published.count / seconds)
+    let full_digests = published.full_digest_bytes / played.layout.dispatchers.len() as f64;
+    ((published.frame_bytes + full_digests) / seconds, published.frame_count / seconds)
 }
 
 /// Returns bytes and messages a second of new settings; a dispatcher gets each version as a complete file.
--- a/lab/src/scale/costs.rs
+++ b/lab/src/scale/costs.rs
@@ -45,9 +45,9 @@
     }
 }
 
-fn process_usage(played: &PlayedPoint, process: &str, name: &str, over: f64, values: &mut Values) {
+fn process_usage(played: &PlayedPoint, process: &str, name: &str, divisor: f64, values: &mut Values) {
     let [before, after] = &played.samples;
-    let mut set = |figure: &str, value: f64| values.insert(format!("{name}.{figure}"), value / over);
+    let mut set = |figure: &str, value: f64| values.insert(format!("{name}.{figure}"), value / divisor);
     if let Some(cpu) = before.cpu_usage_until(after, process) {
         set("cpu_pct", cpu.cpu_pct);
         set("cpu_user_pct", cpu.user_pct);
@@ -87,13 +87,14 @@
                 values.insert(figure, *value);
                 continue;
             }
-            let was = before.get(role).and_then(|before| before.values.get(name)).copied().unwrap_or(0.0);
-            let over = match name.split('.').next() {
+            let value_before =
+                before.get(role).and_then(|before| before.values.get(name)).copied().unwrap_or(0.0);
+            let divisor = match name.split('.').next() {
                 Some("real") => played.quantities.real.max(1) as f64,
                 Some("hollow") => hollow as f64,
                 _ => 1.0,
             };
-            values.insert(format!("{figure}_per_s"), (value - was) / seconds.max(0.001) / over);
+            values.insert(format!("{figure}_per_s"), (value - value_before) / seconds.max(0.001) / divisor);
         }
     }
 }
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -123,7 +123,7 @@
         let parsed = parse(&config)?;
         let (reply, answer) = oneshot::channel();
         let _ = self.sender.send(Message::Reload(Box::new((parsed, config, version)), reply));
-        answer.await.unwrap_or_else(|_| Err("it has ended".to_owned()))
+        answer.await.unwrap_or_else(|_| Err("the dispatcher has ended".to_owned()))
     }
 
     /// Returns what it has open.
--- a/lab/src/scale/machine.rs
+++ b/lab/src/scale/machine.rs
@@ -60,7 +60,7 @@
             // A smaller size reduces both pairs and requests, so a proportional reduction suffices.
             let sufficient = point.size * most / needed;
             return Err(format!(
-                "{}: {} needs {needed:.0} MiB, {most:.0} there are; {sufficient:.3} would do",
+                "{}: {} needs {needed:.0} MiB, {most:.0} are available; {sufficient:.3} would do",
                 key("size"),
                 point.size
             ));
--- a/lab/src/scale/part.rs
+++ b/lab/src/scale/part.rs
@@ -18,7 +18,7 @@
     mut execute: impl AsyncFnMut(&mut S, Command) -> Result<Counts, String>,
 ) -> Result<(), String> {
     let mut lines = read_lines();
-    let line = lines.recv().await.ok_or("nothing to begin with")?;
+    let line = lines.recv().await.ok_or("standard input ended before the setup")?;
     let started = match parse(&line) {
         Ok(message) => start(message).await,
         Err(e) => Err(e),
--- a/lab/src/scale/part_process.rs
+++ b/lab/src/scale/part_process.rs
@@ -51,7 +51,7 @@
             PartProcess { role, id, log, child: Mutex::new(child), pipes: Mutex::new((input, output)) };
         let ready: Ready = part.exchange(setup).await?;
         match ready.error {
-            Some(e) => Err(format!("the part {role} could not begin: {e}")),
+            Some(e) => Err(format!("the part {role} could not start: {e}")),
             None => Ok((part, ready)),
         }
     }
@@ -78,7 +78,9 @@
             output.next_line().await.ok()?
         });
         match answer.await {
-            Err(_) => Err(format!("the part {} says nothing for {} s", self.role, ANSWER_TIMEOUT.as_secs())),
+            Err(_) => {
+                Err(format!("the part {} did not answer within {} s", self.role, ANSWER_TIMEOUT.as_secs()))
+            }
             Ok(None) => {
                 // The exit status is available slightly after the end of the output.
                 tokio::time::sleep(Duration::from_millis(200)).await;
@@ -89,8 +91,8 @@
             }
             Ok(Some(line)) => {
                 let mut json = serde_json::Deserializer::from_str(&line);
-                let read = serde_path_to_error::deserialize(&mut json);
-                read.map_err(|e| format!("the part {} answered: {e}", self.role))
+                let parsed = serde_path_to_error::deserialize(&mut json);
+                parsed.map_err(|e| format!("the part {} sent an invalid answer: {e}", self.role))
             }
         }
     }
@@ -100,7 +102,7 @@
         let status = self.child.lock().await.try_wait().ok()??;
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let last = log.lines().last().unwrap_or("nothing in its log").to_owned();
-        Some(format!("the part {} ended unasked ({status}): {last}", self.role))
+        Some(format!("the part {} exited unexpectedly ({status}): {last}", self.role))
     }
 
     /// Kills the process.
@@ -109,7 +111,7 @@
     }
 }
 
-/// Returns the path of this program; in a test, of `sablerun-lab` beside the test's folder.
+/// Returns the path of this program; in a test, of `sablerun-lab` in the folder above the test program's.
 fn lab_program() -> Result<PathBuf, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     if program.file_stem().is_some_and(|name| name == "sablerun-lab") {
--- a/lab/src/scale/play.rs
+++ b/lab/src/scale/play.rs
@@ -77,7 +77,7 @@
     let processes = Arc::new(Processes::start(point, layout, options.operator.to_owned()).await?);
     let played = tokio::select! {
         played = run_phases(point, &quantities, &processes, &tick) => played,
-        ended = first_exit(&processes) => Err(ended),
+        error = first_exit(&processes) => Err(error),
     };
     processes.stop().await;
     played
@@ -87,8 +87,8 @@
 async fn first_exit(processes: &Processes) -> String {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
-        if let Err(ended) = processes.check_running().await {
-            return ended;
+        if let Err(error) = processes.check_running().await {
+            return error;
         }
     }
 }
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -141,18 +141,18 @@
     /// Names the process that exited unexpectedly.
     pub async fn check_running(&self) -> Result<(), String> {
         for part in &self.parts {
-            if let Some(ended) = part.unexpected_exit().await {
-                return Err(ended);
+            if let Some(exit) = part.unexpected_exit().await {
+                return Err(exit);
             }
         }
         if let Some(publisher) = &self.publisher
-            && let Some(ended) = publisher.unexpected_exit().await
+            && let Some(exit) = publisher.unexpected_exit().await
         {
-            return Err(ended);
+            return Err(exit);
         }
         for (number, dispatcher) in self.real.iter().enumerate() {
-            if let Some(ended) = dispatcher.ended().await {
-                return Err(format!("the dispatcher n{number} ended unasked ({ended})"));
+            if let Some(exit) = dispatcher.ended().await {
+                return Err(format!("the dispatcher n{number} exited unexpectedly ({exit})"));
             }
         }
         Ok(())
--- a/lab/src/scale/publisher.rs
+++ b/lab/src/scale/publisher.rs
@@ -67,7 +67,7 @@
         let end = Instant::now() + START_TIMEOUT;
         while tokio::net::TcpStream::connect(self.address).await.is_err() {
             if self.unexpected_exit().await.is_some() || Instant::now() > end {
-                return Err(format!("the publisher did not come up; see {}", log.display()));
+                return Err(format!("the publisher did not start; see {}", log.display()));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -89,7 +89,10 @@
     /// Returns the error to report if the process has exited without being killed.
     pub async fn unexpected_exit(&self) -> Option<String> {
         let status = self.child.lock().await.as_mut()?.try_wait().ok()??;
-        Some(format!("the publisher ended unasked ({status}); see {}", self.folder.join("log").display()))
+        Some(format!(
+            "the publisher exited unexpectedly ({status}); see {}",
+            self.folder.join("log").display()
+        ))
     }
 
     /// Returns its log so far.
@@ -102,11 +105,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Published {
     /// Bytes of all frames; each frame goes to every follower.
-    pub frames: f64,
+    pub frame_bytes: f64,
     /// The number of frames.
-    pub count: f64,
+    pub frame_count: f64,
     /// Bytes of all full digests; each goes to one follower.
-    pub wholes: f64,
+    pub full_digest_bytes: f64,
 }
 
 /// Sums up from a publisher's log what it has sent between two moments, in microseconds of Unix time.
@@ -118,10 +121,10 @@
         }
         let bytes = |prefix: &str| line.split(prefix).nth(1)?.split_whitespace().next()?.parse::<f64>().ok();
         if let Some(bytes) = bytes("frame of bytes=") {
-            sums.frames += bytes;
-            sums.count += 1.0;
+            sums.frame_bytes += bytes;
+            sums.frame_count += 1.0;
         }
-        sums.wholes += bytes("whole of bytes=").unwrap_or(0.0);
+        sums.full_digest_bytes += bytes("whole of bytes=").unwrap_or(0.0);
     }
     sums
 }
--- a/lab/tests/adoptions.rs
+++ b/lab/tests/adoptions.rs
@@ -1,4 +1,4 @@
-//! What the run reads out of real dispatchers' logs.
+//! Adoptions of lists and settings are read from real dispatchers' logs.
 
 use sablerun_lab::scale::adoptions::adoptions_in_log;
 
@@ -18,12 +18,12 @@
 [2026-12-02T05:00:30.000Z INFO  sablerun_node::config] new settings are in use classes=task attempts=5
 ";
     let base = 1_796_187_625_000_000_u64;
-    let act = |what: &str, version, after| (what.to_owned(), version, base + after);
-    let due = [
-        act("list", 41, 200_000),
-        act("list", 42, 1_001_000),
-        act("settings", 1, 2_501_000),
-        act("settings", 2, 5_000_000),
+    let adoption = |what: &str, version, after| (what.to_owned(), version, base + after);
+    let expected = [
+        adoption("list", 41, 200_000),
+        adoption("list", 42, 1_001_000),
+        adoption("settings", 1, 2_501_000),
+        adoption("settings", 2, 5_000_000),
     ];
-    assert_eq!(adoptions_in_log(log), due);
+    assert_eq!(adoptions_in_log(log), expected);
 }
--- a/lab/tests/common/scene.rs
+++ b/lab/tests/common/fixture.rs
@@ -1,6 +1,6 @@
-//! A small layout for tests of the scale run, with hollow runners and discovery of its own.
+//! A small layout for tests of the scale run, with hollow runners and discovery as processes.
 
-use super::part::Part;
+use super::part::PartProcess;
 use sablerun_lab::scale::protocol::{Command, Dispatcher, Layout, Runner, Setup, Stream, Zone};
 use sablerun_stand_ins::installation::Class;
 use sablerun_stand_ins::program::{free_port, settings_for};
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Runners of 64 slots and dispatchers, all in one zone, with two tenants and an empty stream.
+/// Returns a layout of runners with 64 slots each and dispatchers, all in one zone, with two tenants and an
+/// empty stream.
 pub fn layout(name: &str, runners: usize, dispatchers: usize, hollow: bool) -> Layout {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
@@ -46,29 +47,29 @@
     }
 }
 
-/// Hollow runners and discovery of a layout, as processes.
-pub struct Stage {
-    pub runners: Part,
-    pub discovery: Part,
-    /// What other parts begin with.
-    pub begin: Setup,
+/// The hollow runners and discovery of a layout.
+pub struct Fixture {
+    pub runners: PartProcess,
+    pub discovery: PartProcess,
+    /// The setup for other parts.
+    pub setup: Setup,
 }
 
-impl Stage {
-    pub fn start(layout: &Layout) -> Stage {
-        let (mut runners, mut discovery) = (Part::start("runners"), Part::start("discovery"));
-        let mut begin = Setup {
+impl Fixture {
+    pub fn start(layout: &Layout) -> Fixture {
+        let (mut runners, mut discovery) = (PartProcess::start("runners"), PartProcess::start("discovery"));
+        let mut setup = Setup {
             layout: layout.clone(),
             dial: Vec::new(),
             discovery: Vec::new(),
             operator: String::new(),
         };
-        begin.dial = runners.begin(&begin).dial;
-        begin.discovery = discovery.begin(&begin).discovery;
-        Stage { runners, discovery, begin }
+        setup.dial = runners.set_up(&setup).dial;
+        setup.discovery = discovery.set_up(&setup).discovery;
+        Fixture { runners, discovery, setup }
     }
 
-    /// What the runners have counted of hollow or real dispatchers.
+    /// Returns what the runners have counted for hollow or real dispatchers.
     pub fn counted(&mut self, hollow: bool) -> BTreeMap<String, f64> {
         let side = if hollow { "hollow." } else { "real." };
         let counts = self.runners.command(&Command::Count).values.into_iter();
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -1,22 +1,22 @@
-//! Hollow dispatchers mean the same: the same few dispatchers, played as real processes and as hollow ones
-//! between the same hollow runners, bring about the same messages. Compared is what doesn't depend on chance:
-//! which runner a request goes to, how many connections that takes, and whatever a stalled machine repeats (a
-//! call-back's further tries, a watch that counts as silent and is asked for again) are left out; settings
-//! allow one try only, so that each request is sent once.
-
+//! Hollow dispatchers behave as real ones: the same dispatchers, played as processes and as hollow ones
+//! between the same hollow runners, cause the same messages. Only what does not depend on chance is compared.
+//! Left out are the runner that a request goes to, the number of connections, and what a stalled machine
+//! repeats (further tries of a call-back, a watch that is taken for silent and requested again). The settings
+//! allow one try, so that each request is sent once.
+
+#[path = "common/fixture.rs"]
+mod fixture;
 #[path = "common/part.rs"]
 mod part;
-#[path = "common/scene.rs"]
-mod scene;
 
-use part::Part;
+use fixture::Fixture;
+use part::PartProcess;
 use sablerun_lab::scale::adoptions::adoptions_in_log;
 use sablerun_lab::scale::config::dispatcher_config;
 use sablerun_lab::scale::protocol::{Adoption, Command, Counts, Layout, Request, Stream};
 use sablerun_lab::scale::stream::Arrivals;
 use sablerun_stand_ins::http;
 use sablerun_stand_ins::program::program_path;
-use scene::Stage;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -27,8 +27,8 @@
 
 const DISPATCHERS: usize = 3;
 
-/// Polls until something holds; fails after a long while.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls until a condition holds; fails after 60 s.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(60);
     while !holds() {
         assert!(Instant::now() < end, "{what}");
@@ -36,17 +36,17 @@
     }
 }
 
-/// Real dispatchers' processes.
-struct Real {
+/// The processes of real dispatchers.
+struct RealDispatchers {
     children: Vec<Child>,
     folder: PathBuf,
     discovery: Vec<SocketAddr>,
 }
 
-impl Real {
-    fn start(layout: &Layout, discovery: &[SocketAddr]) -> Real {
+impl RealDispatchers {
+    fn start(layout: &Layout, discovery: &[SocketAddr]) -> RealDispatchers {
         let (folder, discovery) = (layout.folder.clone(), discovery.to_vec());
-        let mut real = Real { children: Vec::new(), folder, discovery };
+        let mut real = RealDispatchers { children: Vec::new(), folder, discovery };
         real.write(layout, &layout.settings);
         for (number, dispatcher) in layout.dispatchers.iter().enumerate() {
             let child = std::process::Command::new(program_path().unwrap())
@@ -57,7 +57,7 @@
                 .spawn();
             real.children.push(child.unwrap());
             let up = || http::call_blocking(dispatcher.listen, "GET /up HTTP/1.1", "");
-            until("a dispatcher is up", || up().is_some_and(|answer| answer.status == 200));
+            wait_until("a dispatcher is up", || up().is_some_and(|answer| answer.status == 200));
         }
         real
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn hang_up(&self) {
+    fn send_hangup(&self) {
         for child in &self.children {
             let id = child.id().to_string();
             assert!(
@@ -83,7 +83,7 @@
     }
 }
 
-impl Drop for Real {
+impl Drop for RealDispatchers {
     fn drop(&mut self) {
         for child in &mut self.children {
             let _ = child.kill();
@@ -92,22 +92,22 @@
     }
 }
 
-/// Who acted by which version of what.
-type Acted = BTreeSet<(usize, String, u64)>;
+/// Adoptions as dispatcher, `list` or `settings`, and version.
+type AdoptionSet = BTreeSet<(usize, String, u64)>;
 
-/// What came of a play, in what does not depend on chance.
+/// The results of a run that do not depend on chance.
 #[derive(Debug, PartialEq)]
-struct Played {
-    /// Requests by their answers, class, tenant and gang.
+struct RunResult {
+    /// The number of requests by answer, class, tenant and size of the gang.
     requests: BTreeMap<(String, String, u32, u32), usize>,
-    /// Messages at the runners, by kind.
+    /// Messages at the runners by kind.
     messages: BTreeMap<&'static str, f64>,
-    acted: Acted,
+    adoptions: AdoptionSet,
 }
 
-/// A layout whose settings allow each request one try, however long its connection takes.
+/// Returns a layout whose settings allow one try for each request and a long connect timeout.
 fn one_try(name: &str, runners: usize, hollow: bool) -> Layout {
-    let mut layout = scene::layout(name, runners, DISPATCHERS, hollow);
+    let mut layout = fixture::layout(name, runners, DISPATCHERS, hollow);
     let limits = &mut layout.settings["limits"];
     limits["tryLimit"] = json!(1);
     limits["parallelTries"] = json!(false);
@@ -115,7 +115,7 @@
     layout
 }
 
-fn play(hollow: bool) -> Played {
+fn run(hollow: bool) -> RunResult {
     let mut layout = one_try(&format!("hollow-{hollow}"), 4, hollow);
     layout.stream = Stream {
         fill: 40,
@@ -130,19 +130,19 @@
         ..layout.stream
     };
     let arrivals = |n| Arrivals::new(&layout.stream, layout.seed, n, layout.dispatchers[n].share).count();
-    let due: usize = (0..DISPATCHERS).map(arrivals).sum();
-    let mut stage = Stage::start(&layout);
+    let expected: usize = (0..DISPATCHERS).map(arrivals).sum();
+    let mut fixture = Fixture::start(&layout);
 
-    let real = (!hollow).then(|| Real::start(&layout, &stage.begin.discovery));
-    let mut part = Part::start(if hollow { "dispatchers" } else { "clients" });
-    part.begin(&stage.begin);
-    let acted = |part: &mut Part| match &real {
+    let real = (!hollow).then(|| RealDispatchers::start(&layout, &fixture.setup.discovery));
+    let mut part = PartProcess::start(if hollow { "dispatchers" } else { "clients" });
+    part.set_up(&fixture.setup);
+    let adoptions = |part: &mut PartProcess| match &real {
         Some(real) => (0..DISPATCHERS)
             .flat_map(|n| {
                 let log = std::fs::read_to_string(real.log(n)).unwrap();
                 adoptions_in_log(&log).into_iter().map(move |(what, version, _)| (n, what, version))
             })
-            .collect::<Acted>(),
+            .collect::<AdoptionSet>(),
         None => {
             part.command(&Command::Count);
             let mut rows = csv::Reader::from_path(layout.folder.join("acts.csv")).unwrap();
@@ -150,34 +150,34 @@
             rows.map(|act| (act.dispatcher, act.what, act.version)).collect()
         }
     };
-    let all_act = |part: &mut Part, what: &str, version: u64| {
-        let due = (0..DISPATCHERS).map(|n| (n, what.to_owned(), version)).collect::<Acted>();
-        until(&format!("all act by {what} {version}"), || acted(part).is_superset(&due));
+    let wait_for_all = |part: &mut PartProcess, what: &str, version: u64| {
+        let expected = (0..DISPATCHERS).map(|n| (n, what.to_owned(), version)).collect::<AdoptionSet>();
+        wait_until(&format!("all have adopted {what} {version}"), || adoptions(part).is_superset(&expected));
     };
-    all_act(&mut part, "list", 1);
+    wait_for_all(&mut part, "list", 1);
     for health in ["leaving", "left", "active"] {
-        let told = Command::List { runners: vec![3], health: health.to_owned(), up: health == "active" };
-        let version = stage.discovery.command(&told).seq;
-        all_act(&mut part, "list", version);
+        let change = Command::List { runners: vec![3], health: health.to_owned(), up: health == "active" };
+        let version = fixture.discovery.command(&change).seq;
+        wait_for_all(&mut part, "list", version);
     }
     let mut settings = layout.settings.clone();
     settings["overShareWorth"] = json!(0.06);
     match &real {
         Some(real) => {
             real.write(&layout, &settings);
-            real.hang_up();
+            real.send_hangup();
         }
         None => _ = part.command(&Command::Settings { settings, version: 1 }),
     }
-    all_act(&mut part, "settings", 1);
+    wait_for_all(&mut part, "settings", 1);
 
     part.command(&Command::Play);
     let mut counts = Counts::default();
-    until("all are answered", || {
+    wait_until("all are answered", || {
         counts = part.command(&Command::Count);
-        counts.values["requests.taken"] == due as f64 && counts.values["requests.out"] == 0.0
+        counts.values["requests.taken"] == expected as f64 && counts.values["requests.out"] == 0.0
     });
-    let acted = acted(&mut part);
+    let adoptions = adoptions(&mut part);
     part.command(&Command::End);
     let file = if hollow { "requests.csv" } else { "requests-clients.csv" };
     let mut rows = csv::Reader::from_path(layout.folder.join(file)).unwrap();
@@ -186,49 +186,50 @@
         *requests.entry((row.answer, row.class, row.tenant, row.gang)).or_insert(0) += 1;
     }
     let mut values = BTreeMap::new();
-    // A client may have its answer before the runner has that to its call-back.
-    until("all is told", || {
-        values = stage.counted(hollow);
+    // A client may get its answer before the runner gets the answer to its call-back.
+    wait_until("all call-backs have arrived", || {
+        values = fixture.counted(hollow);
         values["callbacks"] >= values["started"] + values["ended"]
     });
-    assert_eq!(stage.counted(!hollow)["requests"], 0.0);
+    assert_eq!(fixture.counted(!hollow)["requests"], 0.0);
     let side = if hollow { "hollow" } else { "real" };
-    let lists = stage.discovery.command(&Command::Count).values[&format!("{side}.whole_lists")];
+    let lists = fixture.discovery.command(&Command::Count).values[&format!("{side}.whole_lists")];
     let kinds = ["requests", "answers_202", "started", "ended", "callbacks", "copies", "give_ups", "probes"];
     let messages =
         kinds.into_iter().map(|kind| (kind, values[kind])).chain([("whole_lists", lists)]).collect();
-    Played { requests, messages, acted }
+    RunResult { requests, messages, adoptions }
 }
 
 #[test]
-fn hollow_dispatchers_bring_about_the_same_messages_as_real_ones() {
-    let (real, hollow) = (play(false), play(true));
+fn hollow_dispatchers_cause_the_same_messages_as_real_ones() {
+    let (real, hollow) = (run(false), run(true));
     assert!(real.requests.keys().all(|(answer, ..)| answer == "served"), "{:?}", real.requests);
     let sent = real.messages["requests"];
     assert!(sent > 80.0);
-    // Each request is sent once, and told of twice: as it begins and as it is done.
+    // Each request is sent once and reported by two call-backs, at its start and at its end.
     assert_eq!((real.messages["callbacks"], real.messages["copies"]), (2.0 * sent, 0.0));
     assert_eq!(real.messages["whole_lists"], DISPATCHERS as f64);
-    assert_eq!(real.acted.len(), DISPATCHERS * 5);
+    assert_eq!(real.adoptions.len(), DISPATCHERS * 5);
     assert_eq!(real, hollow);
 }
 
 #[test]
-fn what_is_out_at_the_end_is_open_and_given_up() {
+fn requests_open_at_the_end_are_recorded_as_open_and_cancelled() {
     for hollow in [false, true] {
-        // Runners enough: until an end has told of free slots, a dispatcher believes in few at each.
+        // Many runners: a dispatcher assumes few slots at each until a finished request has reported the free
+        // ones.
         let mut layout = one_try(&format!("hollow-end-{hollow}"), 32, hollow);
         layout.stream = Stream { fill: 300, fill_s: 0.5, work_mean_s: 3600.0, ..layout.stream };
         let arrivals = |n| Arrivals::new(&layout.stream, layout.seed, n, layout.dispatchers[n].share).count();
-        let due = (0..DISPATCHERS).map(arrivals).sum::<usize>() as f64;
-        let mut stage = Stage::start(&layout);
-        let _real = (!hollow).then(|| Real::start(&layout, &stage.begin.discovery));
-        let mut part = Part::start(if hollow { "dispatchers" } else { "clients" });
-        part.begin(&stage.begin);
+        let expected = (0..DISPATCHERS).map(arrivals).sum::<usize>() as f64;
+        let mut fixture = Fixture::start(&layout);
+        let _real = (!hollow).then(|| RealDispatchers::start(&layout, &fixture.setup.discovery));
+        let mut part = PartProcess::start(if hollow { "dispatchers" } else { "clients" });
+        part.set_up(&fixture.setup);
         part.command(&Command::Play);
-        until("all run", || stage.counted(hollow)["running_now"] == due);
+        wait_until("all run", || fixture.counted(hollow)["running_now"] == expected);
         let counts = part.command(&Command::End).values;
-        assert_eq!((counts["requests.open"], counts["requests.out"]), (due, 0.0));
-        until("all are given up", || stage.counted(hollow)["given_up_running"] == due);
+        assert_eq!((counts["requests.open"], counts["requests.out"]), (expected, 0.0));
+        wait_until("all are given up", || fixture.counted(hollow)["given_up_running"] == expected);
     }
 }
--- a/lab/tests/hollow_kill.rs
+++ b/lab/tests/hollow_kill.rs
@@ -1,25 +1,25 @@
-//! A hollow dispatcher that is killed: nothing of it goes on. Alone in its file, since it counts the
-//! process's descriptors.
+//! A killed hollow dispatcher leaves no task, socket or connection behind. Alone in its file, because it
+//! counts the descriptors of the process.
 
+#[path = "common/fixture.rs"]
+mod fixture;
 #[path = "common/part.rs"]
 mod part;
-#[path = "common/scene.rs"]
-mod scene;
 
+use fixture::Fixture;
 use sablerun_lab::scale::config::dispatcher_config;
 use sablerun_lab::scale::hollow::{Hollow, ThreadContext};
 use sablerun_lab::scale::protocol::{Command, Request, Stream};
 use sablerun_lab::scale::record_writers::{AdoptionLog, RequestLog};
 use sablerun_lab::scale::stream::Arrivals;
 use sablerun_node::operator::Operator;
-use scene::Stage;
 use std::cell::RefCell;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Polls until something holds; fails after a long while.
-async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Polls until a condition holds; fails after 30 s.
+async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(30);
     while !holds().await {
         assert!(Instant::now() < end, "{what}");
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn a_killed_one_leaves_nothing_behind_and_comes_up_anew() {
+fn a_killed_dispatcher_leaves_nothing_behind_and_can_restart() {
     actix_rt::System::new().block_on(async {
-        let mut layout = scene::layout("hollow_kill", 3, 1, true);
+        let mut layout = fixture::layout("hollow_kill", 3, 1, true);
         layout.stream = Stream { fill: 5, fill_s: 0.0, work_mean_s: 3600.0, ..layout.stream };
-        let mut stage = Stage::start(&layout);
-        let discovery = stage.begin.discovery[0];
+        let mut fixture = Fixture::start(&layout);
+        let discovery = fixture.setup.discovery[0];
         let requests = RequestLog::create(&layout.folder, "requests.csv", Duration::from_secs(3600)).unwrap();
         let adoptions = AdoptionLog::create(&layout.folder, "acts.csv").unwrap();
         let (steps, tenants) = (RefCell::default(), true);
@@ -48,17 +48,17 @@
             operator: Operator::default(),
             tenants,
         });
-        let text = || dispatcher_config(&layout, 0, &layout.settings, discovery);
+        let config = || dispatcher_config(&layout, 0, &layout.settings, discovery);
         let before = descriptors();
 
         for round in 1..=2u64 {
-            let hollow = Hollow::start(&shared, 0, text()).await.unwrap();
+            let hollow = Hollow::start(&shared, 0, config()).await.unwrap();
             let arrivals = || Arrivals::new(&layout.stream, layout.seed + round, 0, 1.0);
             assert_eq!(arrivals().count(), 5);
             arrivals().for_each(|arrival| hollow.submit(arrival));
-            let mut counted = |what: &str| stage.counted(true)[what];
-            until("all run", async || counted("started") == 5.0 * round as f64).await;
-            until("all known to run", async || hollow.open_counts().await.accepted > 0).await;
+            let mut counted = |what: &str| fixture.counted(true)[what];
+            wait_until("all run", async || counted("started") == 5.0 * round as f64).await;
+            wait_until("all known to run", async || hollow.open_counts().await.accepted > 0).await;
             let counts = hollow.open_counts().await;
             assert_eq!(counts.open, 5);
             assert!(counts.runners > 0);
@@ -68,21 +68,21 @@
             assert!(TcpStream::connect(layout.dispatchers[0].listen).is_err(), "its listener is closed");
             let counts = requests.counts();
             assert_eq!((counts["requests.cut"], counts["requests.out"]), (5.0 * round as f64, 0.0));
-            // What holds the runtime, the links and every task holds this too.
+            // The runtime, the links and every task hold a reference to this.
             drop(hollow);
             assert_eq!(Rc::strong_count(&shared), 1, "something of it is left");
             assert_eq!(descriptors(), before, "a socket of it is left open");
-            // Runners hear of its end by their connections alone: a killed process gives nothing up.
-            until("its connections end", async || counted("connections_open_now") == 0.0).await;
+            // Runners notice its end only by their connections: a killed process cancels nothing.
+            wait_until("its connections end", async || counted("connections_open_now") == 0.0).await;
             assert_eq!(counted("give_ups"), 0.0);
-            let told = Command::List { runners: vec![0], health: "active".to_owned(), up: false };
-            until("its watch ends", async || {
-                // Discovery sees that nobody reads when it writes.
-                stage.discovery.command(&told).values["hollow.watches_now"] == 0.0
+            let change = Command::List { runners: vec![0], health: "active".to_owned(), up: false };
+            wait_until("its watch ends", async || {
+                // Discovery notices a closed watch as it writes to it.
+                fixture.discovery.command(&change).values["hollow.watches_now"] == 0.0
             })
             .await;
         }
-        // Nor do the cores hear that clients left them.
+        // Nor are the cores notified that the clients are gone.
         assert!(!shared.steps.borrow().figures().iter().any(|(name, _)| name.contains("client_gone")));
         requests.flush().unwrap();
         let mut rows = csv::Reader::from_path(layout.folder.join("requests.csv")).unwrap();
--- a/lab/tests/publisher.rs
+++ b/lab/tests/publisher.rs
@@ -1,9 +1,9 @@
-//! What a publisher's log says that it told, in a stretch of time.
+//! The bytes that a publisher has sent within a time range are read from its log.
 
 use sablerun_lab::scale::publisher::{Published, published_between};
 
 #[test]
-fn frames_and_wholes_within_a_stretch_are_added_up() {
+fn frames_and_full_digests_within_a_time_range_are_added_up() {
     let log = "\
 [2026-12-02T05:00:00.500Z DEBUG sablerun_node::publisher] frame of bytes=10 followers=2
 [2026-12-02T05:00:01.000Z DEBUG sablerun_node::publisher] frame of bytes=200 followers=2
@@ -15,7 +15,7 @@
 ";
     let second = 1_000_000;
     let start = "2026-12-02T05:00:00Z".parse::<jiff::Timestamp>().unwrap().as_microsecond() as u64;
-    let all = Published { frames: 240.0, count: 2.0, wholes: 3000.0 };
+    let all = Published { frame_bytes: 240.0, frame_count: 2.0, full_digest_bytes: 3000.0 };
     assert_eq!(published_between(log, start + second, start + 3 * second), all);
     assert_eq!(published_between("", start, start + second), Published::default());
 }
--- a/lab/tests/scale_figures.rs
+++ b/lab/tests/scale_figures.rs
@@ -1,4 +1,5 @@
-//! What a scale run makes of its records: lines, delays of changes, sizes as a command says them.
+//! Figures computed from the records of a scale run: fitted lines, adoption delays, start delays; and sizes
+//! of the command line.
 
 use sablerun_lab::scale::changes::Change;
 use sablerun_lab::scale::delays::{adoptions_of_real, delays};
@@ -10,7 +11,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn a_line_is_found_and_what_is_none_is_flagged() {
+fn fits_are_classified_as_line_no_line_or_flat() {
     let straight = least_squares(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)]).unwrap();
     assert!((straight.slope - 2.0).abs() < 1e-9 && (straight.intercept - 3.0).abs() < 1e-9);
     assert!(straight.r2 > 0.999_999 && straight.residual < 1e-9);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_real_dispatchers_acts_are_read_out_of_its_log() {
+fn adoptions_of_real_dispatchers_are_read_from_the_log() {
     let log = "\
 [2026-12-02T05:00:01.250Z DEBUG sablerun_node::net::discovery] list Full 1: 680 entries
 [2026-12-02T05:00:02.000Z DEBUG sablerun_node::net::discovery] list Delta 3: 1 entries
@@ -57,13 +58,13 @@
     let at = |s: f64| midnight + 5 * 3600 * second + (s * 1e6) as u64;
     let change = |what, version, s| Change { what, version, at_us: at(s) };
     let changes = [change("list", 2, 1.5), change("list", 9, 2.05), change("settings", 1, 3.0)];
-    let acts = adoptions_of_real(4, log, &changes);
-    assert_eq!(acts.len(), 3);
-    assert_eq!(acts[0].at_us, at(1.25));
-    // Version 3 brings 2; 9 was overtaken, so nobody acted by it.
-    let list = delays(&changes, &acts, "list", &[4]);
+    let adoptions = adoptions_of_real(4, log, &changes);
+    assert_eq!(adoptions.len(), 3);
+    assert_eq!(adoptions[0].at_us, at(1.25));
+    // Version 3 includes version 2; version 9 was overtaken, so it was not adopted.
+    let list = delays(&changes, &adoptions, "list", &[4]);
     assert_eq!((list.ms.clone(), list.never), (vec![500.0], 1));
-    let settings = delays(&changes, &acts, "settings", &[4, 5]);
+    let settings = delays(&changes, &adoptions, "settings", &[4, 5]);
     assert_eq!((settings.ms.clone(), settings.never), (vec![1500.0], 1));
     assert_eq!(settings.quantile(1.0), 1500.0);
 }
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_start_that_is_waited_for_counts_with_its_wait() {
+fn a_request_still_waiting_counts_with_its_wait() {
     let mut requests = vec![
         request(10, Some(1_010), 5_000_000, "served"),
         request(20, Some(2_000_020), 5_000_000, "served"),
@@ -105,8 +106,8 @@
     let mut values = BTreeMap::new();
     start_delays(&requests, (0, 1_000_000), &mut values);
     let near = |figure: &str, value: f64| {
-        let told = values[figure];
-        assert!((told - value).abs() <= value * 0.002, "{figure}: {told} for {value}");
+        let actual = values[figure];
+        assert!((actual - value).abs() <= value * 0.002, "{figure}: {actual} for {value}");
     };
     near("start.urgent_count", 3.0);
     near("start.urgent_p50_ms", 2000.0);
--- a/lab/tests/scale_plan.rs
+++ b/lab/tests/scale_plan.rs
@@ -1,4 +1,5 @@
-//! A scale run's file: what it turns down, by key and with what would do, and what a point's numbers are.
+//! A scale run's file: values rejected by key with the values they may have, and the quantities and layout of
+//! a point.
 
 use sablerun_lab::scale::layout::build_layout;
 use sablerun_lab::scale::machine::Machine;
@@ -20,7 +21,7 @@
     let plan = Plan::parse(&text()).unwrap();
     let points = plan.points();
     let named = |name: &str| points.iter().find(|point| point.name == name).unwrap();
-    // All together, and each of five quantities alone, whose base is one of those.
+    // One for all quantities together and one for each of the five alone.
     assert_eq!(points.iter().filter(|point| point.name.ends_with("-125")).count(), 6);
     let whole = named("all-1000").quantities(&plan, 1.0);
     assert_eq!((whole.runners, whole.dispatchers, whole.tenants, whole.running), (680, 300, 300, 13_000));
@@ -35,8 +36,8 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_turned_down_by_its_key() {
-    for (old, new, told) in [
+fn invalid_values_are_rejected_by_key() {
+    for (old, new, message) in [
         ("runners = 680", "runners = 0", "whole.runners: 0; more than 0"),
         ("running = 13000", "running = -5", "whole.running: -5; more than 0"),
         ("changes = 1.0", "changes = -1.0", "whole.changes: -1; 0 or more"),
@@ -49,41 +50,48 @@
         ("check = 1.0", "check = 2.0", "sweep.check: 2 is none of sweep.sizes"),
         ("racks = 20", "racks = 3", "site.racks: at least 5, one for each zone"),
         ("real = \"dozen-real\"", "real = \"none\"", "compare.hollow-to-real: there is no point \"none\""),
-        ("figure = \"all-1000.answers", "figure = \"hole.answers", "hole.answers.lost: of no point"),
-        ("name = \"six\"", "name = \"idle\"", "point.name: \"idle\" is empty, holds a dot, or stands twice"),
+        ("figure = \"all-1000.answers", "figure = \"hole.answers", "hole.answers.lost: belongs to no point"),
+        (
+            "name = \"six\"",
+            "name = \"idle\"",
+            "point.name: \"idle\" is empty, contains a dot, or is a duplicate",
+        ),
     ] {
-        assert_eq!(refused(old, new), told);
+        assert_eq!(refused(old, new), message);
     }
     let unknown = refused("tenants = 300", "tennants = 300");
     assert!(unknown.starts_with("whole") && unknown.contains("tennants"), "{unknown}");
     let unknown = refused("at_s = 6\n", "at = 6\n");
     assert!(unknown.starts_with("point[5].fault[1]") && unknown.contains("`at`"), "{unknown}");
     let late = refused("at_s = 80", "at_s = 180");
-    assert_eq!(late, "point.faults.fault.half.at_s: 180 leaves no time to be back; at most 110");
+    assert_eq!(late, "point.faults.fault.half.at_s: 180 leaves no time for the fault to end; at most 110");
 }
 
 #[test]
-fn more_than_the_machine_bears_is_turned_down_with_what_would_do() {
+fn points_beyond_the_machine_are_rejected_with_a_sufficient_size() {
     let plan = Plan::parse(&text()).unwrap();
     let points = plan.points();
     let whole = points.iter().find(|point| point.name == "all-1000").unwrap();
-    let numbers = whole.quantities(&plan, 1.0);
+    let quantities = whole.quantities(&plan, 1.0);
     let large = Machine { memory_mb: 1e6, descriptors: 20_000.0 };
-    assert_eq!(large.check_capacity(&plan, whole, &numbers), Ok(()));
+    assert_eq!(large.check_capacity(&plan, whole, &quantities), Ok(()));
     let poor = Machine { memory_mb: 800.0, descriptors: 20_000.0 };
-    let told = poor.check_capacity(&plan, whole, &numbers).unwrap_err();
-    assert!(told.starts_with("point.all-1000.size: 1 needs ") && told.ends_with(" would do"), "{told}");
+    let message = poor.check_capacity(&plan, whole, &quantities).unwrap_err();
+    assert!(
+        message.starts_with("point.all-1000.size: 1 needs ") && message.ends_with(" would do"),
+        "{message}"
+    );
     let narrow = Machine { memory_mb: 1e6, descriptors: 6000.0 };
-    let told = narrow.check_capacity(&plan, whole, &numbers).unwrap_err();
-    assert!(told.starts_with("point.all-1000.running: 1 needs "), "{told}");
-    // What would do does.
-    let would: f64 = told.rsplit("; ").next().unwrap().trim_end_matches(" would do").parse().unwrap();
+    let message = narrow.check_capacity(&plan, whole, &quantities).unwrap_err();
+    assert!(message.starts_with("point.all-1000.running: 1 needs "), "{message}");
+    // The reported size suffices.
+    let sufficient: f64 = message.rsplit("; ").next().unwrap().trim_end_matches(" would do").parse().unwrap();
     let mut less = whole.clone();
-    less.set("running", would);
+    less.set("running", sufficient);
     assert_eq!(narrow.check_capacity(&plan, &less, &less.quantities(&plan, 1.0)), Ok(()));
     let tiny = Machine { memory_mb: 1e6, descriptors: 512.0 };
-    let told = tiny.check_capacity(&plan, whole, &numbers).unwrap_err();
-    assert_eq!(told, "point.all-1000.sockets: 4096, a process may hold 512; 512 would do");
+    let message = tiny.check_capacity(&plan, whole, &quantities).unwrap_err();
+    assert_eq!(message, "point.all-1000.sockets: 4096, a process may hold 512; 512 would do");
 }
 
 #[test]
@@ -91,12 +99,12 @@
     let plan = Plan::parse(&text()).unwrap();
     let points = plan.points();
     let whole = points.iter().find(|point| point.name == "all-1000").unwrap();
-    let numbers = whole.quantities(&plan, 1.0);
-    let layout = build_layout(&plan, whole, &numbers, 7, Path::new("nowhere")).unwrap();
+    let quantities = whole.quantities(&plan, 1.0);
+    let layout = build_layout(&plan, whole, &quantities, 7, Path::new("nowhere")).unwrap();
     for rack in 0..20 {
-        let own: Vec<_> = layout.runners.iter().filter(|runner| runner.rack == rack).collect();
-        assert_eq!(own.len(), 34);
-        assert!(own.iter().all(|runner| runner.zone == own[0].zone));
+        let runners: Vec<_> = layout.runners.iter().filter(|runner| runner.rack == rack).collect();
+        assert_eq!(runners.len(), 34);
+        assert!(runners.iter().all(|runner| runner.zone == runners[0].zone));
     }
     let names: std::collections::BTreeSet<_> = layout.runners.iter().map(|runner| &runner.name).collect();
     assert_eq!(names.len(), 680);
@@ -106,7 +114,7 @@
     assert!((share - 1.0).abs() < 1e-9);
     assert_eq!(layout.dispatchers.iter().filter(|dispatcher| !dispatcher.hollow).count(), 5);
     assert_eq!(layout.zones.iter().map(|zone| zone.region).collect::<Vec<_>>(), [0, 0, 0, 1, 1]);
-    // Within 10 s of a mean of 65 s some 7% end.
+    // With a mean of 65 s about 7% end within the 10 s of the fill.
     assert_eq!(layout.stream.fill, 14_026);
     assert_eq!(layout.settings["projects"].as_array().unwrap().len(), 300);
 }
--- a/lab/tests/stream.rs
+++ b/lab/tests/stream.rs
@@ -1,5 +1,5 @@
-//! The stream of requests of the scale run: what it promises of rates, shares and sameness. Seeds are fixed,
-//! so each run draws the same.
+//! The arrivals of the scale run: rates, shares and reproducibility. The seeds are fixed, so that each run
+//! draws the same.
 
 use sablerun_lab::scale::protocol::Stream;
 use sablerun_lab::scale::stream::{Arrival, Arrivals};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_dispatcher_gets_the_same_whenever_it_is_asked_and_others_get_others() {
+fn arrivals_depend_only_on_the_seed_and_the_dispatcher() {
     let of = |seed, number| Arrivals::new(&whole(), seed, number, 0.01).collect::<Vec<_>>();
     assert_eq!(of(7, 3), of(7, 3));
     assert_ne!(of(7, 3), of(8, 3), "another seed");
@@ -57,11 +57,11 @@
 
 #[test]
 fn requests_come_at_the_rate_with_the_shares_of_urgent_and_ganged_ones() {
-    // Long: of few gangs as large as these the shares swing by more than what is checked.
+    // Long, because with few gangs of this size the shares vary by more than the tolerance.
     let arrivals = all(&Stream { seconds: 3000.0, ..whole() }, 1, 300);
     let (fill, end) = (Duration::from_secs(20), Duration::from_secs(3020));
     assert!(arrivals.iter().all(|a| a.at < end));
-    // The fill's orders are cut where a dispatcher's part of it ends.
+    // Without the fill, whose last order at each dispatcher is truncated.
     let later: Vec<_> = arrivals.iter().filter(|a| a.at >= fill).collect();
     near("rate", later.len() as f64 / 3000.0, 200.0, 0.03);
     let ganged = later.iter().filter(|a| a.gang > 1).count();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn ids_are_unlike_and_name_the_dispatcher() {
+fn ids_are_unique_and_name_the_dispatcher() {
     let arrivals = all(&whole(), 1, 30);
     let ids: BTreeSet<_> = arrivals.iter().map(|a| &a.id).collect();
     assert_eq!(ids.len(), arrivals.len());
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nothing_asked_for_is_nothing_drawn() {
+fn an_empty_stream_has_no_arrivals() {
     let none = Stream { fill: 0, rate_per_s: 0.0, ..whole() };
     assert_eq!(Arrivals::new(&none, 1, 0, 1.0).count(), 0);
     let alone = Stream { tenants: 0, gang_most: 0, gang_share: 0.0, ..whole() };
