--- a/lab/src/scale/changes.rs
+++ b/lab/src/scale/changes.rs
@@ -14,7 +14,7 @@
 /// A change that was made.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// `list` or `settings`, as in [`Act`](super::protocol::Act).
+    /// `list` or `settings`, as in [`Adoption`](super::protocol::Adoption).
     pub what: &'static str,
     /// The version of the list or of the settings that contains it.
     pub version: u64,
