--- a/lab/src/scale/costs.rs
+++ b/lab/src/scale/costs.rs
@@ -7,15 +7,15 @@
 use super::record_reader::Records;
 use super::sample::Usage;
 
-/// The last words, or ends of last words, of counts that are gauges: their values at the window's end are
-/// used.
+/// The last words of names of counts that are gauges, whose values at the window's end are used.
 const GAUGES: [&str; 5] = ["running", "queued", "out", "in_core", "up"];
+/// The suffixes of last words of such names.
 const GAUGE_SUFFIXES: [&str; 5] = ["_now", "_us", "_ms", "_most", "_open"];
 /// The service counts as recovered from a fault at this part of the rate of starts before it.
 const RECOVERED_SHARE: f64 = 0.8;
-/// Seconds before a fault over which the rate of starts is averaged, and the width of the sliding window
-/// after it.
+/// Seconds before a fault over which the rate of starts is averaged.
 const BASELINE_S: usize = 5;
+/// The width of the sliding window after it, in seconds.
 const RECOVERY_WINDOW_S: usize = 2;
 
 /// Adds memory, processor time and descriptors of each process.
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -3,7 +3,7 @@
 //! `LocalSet` of its own, so that killing it ends all its tasks and sockets at once, as the system does with
 //! a process.
 //!
-//! Where its results say nothing about a real dispatcher:
+//! Its results are no evidence for the following, which must be measured with a real dispatcher:
 //! - **client connections**: there are none, so neither their descriptors and memory nor the cost of reading
 //!   and writing their messages occur, nor connections refused or closed at a limit;
 //! - **processor time and memory of one dispatcher**: only the process can be measured, which also holds the
@@ -45,9 +45,9 @@
 /// The state shared by all hollow dispatchers of a thread.
 pub struct ThreadContext {
     /// The log of their requests.
-    pub requests: RequestLog,
+    pub request_log: RequestLog,
     /// The log of the versions that they adopt.
-    pub adoptions: AdoptionLog,
+    pub adoption_log: AdoptionLog,
     /// The durations of their reducers' steps.
     pub steps: RefCell<StepTimes>,
     /// The operator's file, which switches on features beside the settings.
@@ -111,7 +111,7 @@
 
     /// Passes in a client's request.
     pub fn submit(&self, arrival: Arrival) {
-        let _ = self.sender.send(Message::Arrived(self.shared.requests.open(self.number, arrival)));
+        let _ = self.sender.send(Message::Arrived(self.shared.request_log.open(self.number, arrival)));
     }
 
     /// Applies a new configuration, as the program does on a SIGHUP.
@@ -191,8 +191,8 @@
         while let Some(message) = receiver.recv().await {
             match message {
                 Message::Arrived(request) => {
-                    let ThreadContext { requests, tenants, .. } = &*self.shared;
-                    let (deadline, timeout) = (requests.deadline, requests.answer_timeout());
+                    let ThreadContext { request_log, tenants, .. } = &*self.shared;
+                    let (deadline, timeout) = (request_log.deadline, request_log.answer_timeout());
                     clients.spawn_local(run_client(
                         self.runtime.clone(),
                         request,
@@ -206,7 +206,7 @@
                     let (parsed, config, version) = *message;
                     let result = apply_config(&self.runtime, &mut self.config, (parsed, config), None);
                     if result.is_ok() {
-                        self.shared.adoptions.adopted(self.number, "settings", version);
+                        self.shared.adoption_log.adopted(self.number, "settings", version);
                     }
                     let _ = reply.send(result);
                 }
@@ -240,6 +240,6 @@
     }
 
     fn listed(&self, version: u64) {
-        self.shared.adoptions.adopted(self.number, "list", version);
+        self.shared.adoption_log.adopted(self.number, "list", version);
     }
 }
--- a/lab/src/scale/hollow_group.rs
+++ b/lab/src/scale/hollow_group.rs
@@ -35,16 +35,16 @@
 
 /// The counts of a thread.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct ThreadFigures {
     /// Counts by their names in the part's answer.
     pub values: BTreeMap<String, f64>,
     /// The durations of the reducer's steps.
     pub steps: StepTimes,
 }
 
-impl Figures {
+impl ThreadFigures {
     /// Adds the counts of another thread.
-    pub fn add(&mut self, other: &Figures) {
+    pub fn add(&mut self, other: &ThreadFigures) {
         for (name, value) in &other.values {
             *self.values.entry(name.clone()).or_default() += value;
         }
@@ -73,13 +73,18 @@
     pub async fn start(
         setup: Arc<Setup>,
         numbers: Vec<usize>,
-        requests: RequestLog,
-        adoptions: AdoptionLog,
+        request_log: RequestLog,
+        adoption_log: AdoptionLog,
     ) -> Result<HollowGroup, String> {
         let tenants = setup.layout.stream.tenants > 0;
         let operator = Operator::parse(&setup.operator).map_err(|e| format!("operator: {e}"))?;
-        let shared =
-            Rc::new(ThreadContext { requests, adoptions, steps: RefCell::default(), operator, tenants });
+        let shared = Rc::new(ThreadContext {
+            request_log,
+            adoption_log,
+            steps: RefCell::default(),
+            operator,
+            tenants,
+        });
         let settings = setup.layout.settings.clone();
         let instances = numbers.iter().map(|number| (*number, Instance::default())).collect();
         let mut group = HollowGroup { setup, settings, shared, instances, streams: JoinSet::new() };
@@ -92,7 +97,7 @@
     /// # Errors
     ///
     /// Names the dispatcher that failed, and why.
-    pub async fn execute(&mut self, command: GroupCommand) -> Result<Figures, String> {
+    pub async fn execute(&mut self, command: GroupCommand) -> Result<ThreadFigures, String> {
         match command {
             GroupCommand::Play(play_start) => self.play(play_start),
             GroupCommand::Down(numbers) => self.down(&numbers).await,
@@ -121,7 +126,7 @@
                     let hollow = instance.borrow().clone();
                     match hollow {
                         Some(hollow) => hollow.submit(arrival),
-                        None => shared.requests.open(number, arrival).finish("cut"),
+                        None => shared.request_log.open(number, arrival).finish("cut"),
                     }
                 }
             });
@@ -172,7 +177,7 @@
         self.instances.iter().filter_map(|(n, instance)| Some((*n, instance.borrow().clone()?))).collect()
     }
 
-    async fn figures(&self) -> Figures {
+    async fn figures(&self) -> ThreadFigures {
         let mut values = BTreeMap::new();
         for (_, hollow) in self.running() {
             let open_counts = hollow.open_counts().await;
@@ -185,6 +190,6 @@
                 *values.entry(name.to_owned()).or_insert(0.0) += value as f64;
             }
         }
-        Figures { values, steps: self.shared.steps.borrow().clone() }
+        ThreadFigures { values, steps: self.shared.steps.borrow().clone() }
     }
 }
--- a/lab/src/scale/machine.rs
+++ b/lab/src/scale/machine.rs
@@ -40,7 +40,7 @@
         let limits = procfs::process::Process::myself().and_then(|process| process.limits());
         let limits = limits.map_err(|e| format!("/proc/self/limits: {e}"))?;
         let descriptors = match limits.max_open_files.soft_limit {
-            procfs::process::LimitValue::Value(most) => most as f64,
+            procfs::process::LimitValue::Value(limit) => limit as f64,
             procfs::process::LimitValue::Unlimited => f64::INFINITY,
         };
         let available = memory.mem_available.unwrap_or(memory.mem_free) as f64 / 1024.0 / 1024.0;
@@ -54,20 +54,23 @@
     /// Names the key, what the point needs, and the largest number that would do.
     pub fn check_capacity(&self, plan: &Plan, point: &Point, quantities: &Quantities) -> Result<(), String> {
         let key = |key: &str| format!("point.{}.{key}", point.name);
-        let most = self.memory_mb.min(MAX_RUN_MB);
+        let limit = self.memory_mb.min(MAX_RUN_MB);
         let needed = memory_mb(quantities);
-        if needed > most {
+        if needed > limit {
             // A smaller size reduces both pairs and requests, so a proportional reduction suffices.
-            let sufficient = point.size * most / needed;
+            let sufficient = point.size * limit / needed;
             return Err(format!(
-                "{}: {} needs {needed:.0} MiB, {most:.0} are available; {sufficient:.3} would do",
+                "{}: {} needs {needed:.0} MiB, {limit:.0} are available; {sufficient:.3} would do",
                 key("size"),
                 point.size
             ));
         }
         if point.sockets as f64 > self.descriptors {
-            let (sockets, most) = (point.sockets, self.descriptors);
-            return Err(format!("{}: {sockets}, a process may hold {most}; {most} would do", key("sockets")));
+            let (sockets, limit) = (point.sockets, self.descriptors);
+            return Err(format!(
+                "{}: {sockets}, a process may hold {limit}; {limit} would do",
+                key("sockets")
+            ));
         }
         for (role, base, for_requests) in descriptors(plan, point, quantities) {
             if base >= self.descriptors {
--- a/lab/src/scale/part_clients.rs
+++ b/lab/src/scale/part_clients.rs
@@ -31,7 +31,7 @@
 /// The clients of all real dispatchers.
 pub struct Clients {
     layout: Arc<Layout>,
-    answers: RequestLog,
+    request_log: RequestLog,
     /// Idle connections by dispatcher.
     idle: Arc<Vec<Mutex<Vec<Connection>>>>,
     /// The number of connections with an open request.
@@ -44,7 +44,7 @@
 struct ClientContext {
     layout: Arc<Layout>,
     dispatcher: usize,
-    answers: RequestLog,
+    request_log: RequestLog,
     idle: Arc<Vec<Mutex<Vec<Connection>>>>,
     busy: Arc<AtomicUsize>,
 }
@@ -58,10 +58,10 @@
     pub async fn start(setup: Setup) -> Result<(Clients, Ready), String> {
         let (layout, deadline) = (Arc::new(setup.layout), Duration::from_secs_f64);
         let deadline = deadline(layout.stream.deadline_s);
-        let answers = RequestLog::create(&layout.folder, "requests-clients.csv", deadline)?;
+        let request_log = RequestLog::create(&layout.folder, "requests-clients.csv", deadline)?;
         let idle = Arc::new(layout.dispatchers.iter().map(|_| Mutex::default()).collect());
         let (busy, streams) = (Arc::default(), JoinSet::new());
-        Ok((Clients { layout, answers, idle, busy, streams }, Ready::default()))
+        Ok((Clients { layout, request_log, idle, busy, streams }, Ready::default()))
     }
 
     /// Executes a command; a command for other roles only returns the counts.
@@ -73,12 +73,12 @@
         match command {
             Command::Play => self.play(Instant::now()),
             Command::End => {
-                self.answers.end_stream();
+                self.request_log.end_stream();
                 // This also ends the streams' requests and their connections, each when its task is next
                 // polled.
                 self.streams.shutdown().await;
                 // A row is written slightly after its connection is closed.
-                while self.answers.counts()["requests.out"] > 0.0 {
+                while self.request_log.counts()["requests.out"] > 0.0 {
                     tokio::time::sleep(POLL_INTERVAL).await;
                 }
                 for idle in self.idle.iter() {
@@ -87,8 +87,8 @@
             }
             _ => {}
         }
-        self.answers.flush()?;
-        let mut values = self.answers.counts();
+        self.request_log.flush()?;
+        let mut values = self.request_log.counts();
         let idle: usize = self.idle.iter().map(|idle| lock(idle).len()).sum();
         values.insert("connections.idle".to_owned(), idle as f64);
         values.insert("connections.busy".to_owned(), self.busy.load(Relaxed) as f64);
@@ -98,11 +98,11 @@
     fn play(&mut self, play_start: Instant) {
         let real = self.layout.dispatchers.iter().enumerate().filter(|(_, d)| !d.hollow);
         for (dispatcher, entry) in real {
-            let (layout, answers) = (self.layout.clone(), self.answers.clone());
+            let (layout, request_log) = (self.layout.clone(), self.request_log.clone());
             let context = ClientContext {
                 layout,
                 dispatcher,
-                answers,
+                request_log,
                 idle: self.idle.clone(),
                 busy: self.busy.clone(),
             };
@@ -112,7 +112,7 @@
                 for arrival in arrivals {
                     tokio::time::sleep_until((play_start + arrival.at).into()).await;
                     let (context, request) =
-                        (context.clone(), context.answers.open(context.dispatcher, arrival));
+                        (context.clone(), context.request_log.open(context.dispatcher, arrival));
                     requests.spawn(async move { context.send(request).await });
                     while requests.try_join_next().is_some() {}
                 }
@@ -158,7 +158,8 @@
         );
         let body = request.arrival.body();
         let answer =
-            tokio::time::timeout(self.answers.answer_timeout(), self.exchange(&head, body.as_bytes())).await;
+            tokio::time::timeout(self.request_log.answer_timeout(), self.exchange(&head, body.as_bytes()))
+                .await;
         request.finish(match answer {
             Err(_) => "lost",
             // Either nothing listens there or the connection ended without an answer. The run knows which
@@ -186,7 +187,7 @@
         };
         if exchanged.is_none() {
             let to = self.layout.dispatchers[self.dispatcher].listen;
-            let mut connection = Connection::open(to, self.answers.answer_timeout()).await.ok()?;
+            let mut connection = Connection::open(to, self.request_log.answer_timeout()).await.ok()?;
             exchanged = exchange_on(&mut connection, head, body).await.map(|answer| (answer, connection));
         }
         let (answer, connection) = exchanged?;
--- a/lab/src/scale/part_dispatchers.rs
+++ b/lab/src/scale/part_dispatchers.rs
@@ -1,7 +1,7 @@
 //! The part of the scale run that plays the hollow dispatchers: many in one process, on a few threads.
 //! Distributes the dispatchers and the run's commands over the threads.
 
-use super::hollow_group::{Figures, GroupCommand, HollowGroup};
+use super::hollow_group::{GroupCommand, HollowGroup, ThreadFigures};
 use super::part;
 use super::protocol::{Command, Counts, Ready, Setup, now_us};
 use super::record_writers::{AdoptionLog, RequestLog};
@@ -28,13 +28,13 @@
 }
 
 /// A command and the channel for its result.
-type CommandWithReply = (GroupCommand, oneshot::Sender<Result<Figures, String>>);
+type CommandWithReply = (GroupCommand, oneshot::Sender<Result<ThreadFigures, String>>);
 
 /// All hollow dispatchers, by thread.
 pub struct Dispatchers {
     threads: Vec<mpsc::UnboundedSender<CommandWithReply>>,
-    answers: RequestLog,
-    adoptions: AdoptionLog,
+    request_log: RequestLog,
+    adoption_log: AdoptionLog,
 }
 
 impl Dispatchers {
@@ -45,8 +45,8 @@
     /// Names the dispatcher that could not start, and why.
     pub async fn start(setup: Setup) -> Result<(Dispatchers, Ready), String> {
         let (folder, deadline) = (&setup.layout.folder, setup.layout.stream.deadline_s);
-        let answers = RequestLog::create(folder, "requests.csv", Duration::from_secs_f64(deadline))?;
-        let adoptions = AdoptionLog::create(folder, "acts.csv")?;
+        let request_log = RequestLog::create(folder, "requests.csv", Duration::from_secs_f64(deadline))?;
+        let adoption_log = AdoptionLog::create(folder, "acts.csv")?;
         let hollow = setup.layout.dispatchers.iter().enumerate().filter(|(_, d)| d.hollow);
         let numbers: Vec<usize> = hollow.map(|(number, _)| number).collect();
         let (setup, mut threads, mut started) = (Arc::new(setup), Vec::new(), Vec::new());
@@ -54,11 +54,12 @@
             // Distributed round-robin, so that each thread has its share of every zone.
             let thread_numbers: Vec<_> = numbers.iter().skip(thread).step_by(THREADS).copied().collect();
             let ((sender, commands), (reply, result)) = (mpsc::unbounded_channel(), oneshot::channel());
-            let (setup, answers, adoptions) = (setup.clone(), answers.clone(), adoptions.clone());
+            let (setup, request_log, adoption_log) =
+                (setup.clone(), request_log.clone(), adoption_log.clone());
             std::thread::spawn(move || {
                 actix_rt::System::new().block_on(async move {
                     serve(
-                        HollowGroup::start(setup, thread_numbers, answers, adoptions).await,
+                        HollowGroup::start(setup, thread_numbers, request_log, adoption_log).await,
                         reply,
                         commands,
                     )
@@ -71,7 +72,7 @@
         for result in started {
             result.await.unwrap_or_else(|_| Err("a thread of the dispatchers has ended".to_owned()))?;
         }
-        Ok((Dispatchers { threads, answers, adoptions }, Ready::default()))
+        Ok((Dispatchers { threads, request_log, adoption_log }, Ready::default()))
     }
 
     /// Executes a command; a command for other roles only returns the counts.
@@ -86,7 +87,7 @@
             Command::DispatchersUp { dispatchers } => GroupCommand::Up(dispatchers),
             Command::Settings { settings, version } => GroupCommand::Settings(settings, version),
             Command::End => {
-                self.answers.end_stream();
+                self.request_log.end_stream();
                 GroupCommand::End
             }
             _ => GroupCommand::Count,
@@ -96,7 +97,7 @@
             let _ = thread.send((command.clone(), reply));
             result
         });
-        let (mut all, mut error) = (Figures::default(), None);
+        let (mut all, mut error) = (ThreadFigures::default(), None);
         for result in results.collect::<Vec<_>>() {
             match result.await.unwrap_or_else(|_| Err("a thread of the dispatchers has ended".to_owned())) {
                 Ok(figures) => all.add(&figures),
@@ -104,12 +105,12 @@
             }
         }
         let at_us = now_us();
-        self.answers.flush()?;
-        self.adoptions.flush()?;
+        self.request_log.flush()?;
+        self.adoption_log.flush()?;
         if let Some(e) = error {
             return Err(e);
         }
-        all.values.extend(self.answers.counts());
+        all.values.extend(self.request_log.counts());
         all.values.extend(all.steps.figures());
         Ok(Counts { at_us, values: all.values, ..Counts::default() })
     }
--- a/lab/src/scale/part_runners.rs
+++ b/lab/src/scale/part_runners.rs
@@ -63,12 +63,12 @@
     });
     let specs = specs.collect::<Result<Vec<_>, String>>()?;
     let dispatchers = dispatchers.collect::<Result<Vec<_>, String>>()?;
-    let record = starts.clone();
+    let log = starts.clone();
     let on_start = Box::new(move |id: &str, runner| {
-        let start = Start { id: id.to_owned(), at_us: now_us(), runner };
-        let mut record = record.lock().expect("no holder panics");
-        if let Err(e) = record.writer.serialize(start) {
-            record.error.get_or_insert(e.to_string());
+        let row = Start { id: id.to_owned(), at_us: now_us(), runner };
+        let mut log = log.lock().expect("no holder panics");
+        if let Err(e) = log.writer.serialize(row) {
+            log.error.get_or_insert(e.to_string());
         }
     });
     let profile = Profile::from_settings(&layout.settings);
@@ -87,9 +87,9 @@
         Command::RunnersUp { runners: which } => runners.restart(&which).map_err(|e| e.to_string())?,
         Command::Link { cut } => runners.set_partition(cut.map(partition)),
         Command::End => {
-            let mut record = starts.lock().expect("no holder panics");
-            record.writer.flush().map_err(|e| format!("starts.csv: {e}"))?;
-            if let Some(e) = &record.error {
+            let mut log = starts.lock().expect("no holder panics");
+            log.writer.flush().map_err(|e| format!("starts.csv: {e}"))?;
+            if let Some(e) = &log.error {
                 return Err(format!("starts.csv: {e}"));
             }
         }
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -54,9 +54,9 @@
         let (discovery, ready) = PartProcess::start("discovery", &folder, &setup).await?;
         parts.push(Arc::new(discovery));
         setup.discovery = ready.discovery.clone();
-        let control = *ready.discovery.last().ok_or("discovery: no address")?;
+        let control_address = *ready.discovery.last().ok_or("discovery: no address")?;
         let publisher = match operator.contains(ADDRESS_PLACEHOLDER) {
-            true => Some(Arc::new(Publisher::start(&folder, control).await?)),
+            true => Some(Arc::new(Publisher::start(&folder, control_address).await?)),
             false => None,
         };
         let operator =
--- a/lab/src/scale/steps.rs
+++ b/lab/src/scale/steps.rs
@@ -25,7 +25,7 @@
     pub fn add(&mut self, others: &StepTimes) {
         for (input, times) in &others.0 {
             match self.0.get_mut(input) {
-                Some(own) => own.add(times).expect("all have the same bounds"),
+                Some(merged) => merged.add(times).expect("all have the same bounds"),
                 None => _ = self.0.insert(input, times.clone()),
             }
         }
--- a/lab/tests/hollow_kill.rs
+++ b/lab/tests/hollow_kill.rs
@@ -38,12 +38,13 @@
         layout.stream = Stream { fill: 5, fill_s: 0.0, work_mean_s: 3600.0, ..layout.stream };
         let mut fixture = Fixture::start(&layout);
         let discovery = fixture.setup.discovery[0];
-        let requests = RequestLog::create(&layout.folder, "requests.csv", Duration::from_secs(3600)).unwrap();
-        let adoptions = AdoptionLog::create(&layout.folder, "acts.csv").unwrap();
+        let request_log =
+            RequestLog::create(&layout.folder, "requests.csv", Duration::from_secs(3600)).unwrap();
+        let adoption_log = AdoptionLog::create(&layout.folder, "acts.csv").unwrap();
         let (steps, tenants) = (RefCell::default(), true);
         let shared = Rc::new(ThreadContext {
-            requests: requests.clone(),
-            adoptions,
+            request_log: request_log.clone(),
+            adoption_log,
             steps,
             operator: Operator::default(),
             tenants,
@@ -66,7 +67,7 @@
 
             hollow.kill().await;
             assert!(TcpStream::connect(layout.dispatchers[0].listen).is_err(), "its listener is closed");
-            let counts = requests.counts();
+            let counts = request_log.counts();
             assert_eq!((counts["requests.cut"], counts["requests.out"]), (5.0 * round as f64, 0.0));
             // The runtime, the links and every task hold a reference to this.
             drop(hollow);
@@ -84,7 +85,7 @@
         }
         // Nor are the cores notified that the clients are gone.
         assert!(!shared.steps.borrow().figures().iter().any(|(name, _)| name.contains("client_gone")));
-        requests.flush().unwrap();
+        request_log.flush().unwrap();
         let mut rows = csv::Reader::from_path(layout.folder.join("requests.csv")).unwrap();
         let rows: Vec<Request> = rows.deserialize().map(Result::unwrap).collect();
         assert_eq!(rows.len(), 10);
