--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -34,37 +34,37 @@
     /// Nothing proves that it never ran.
     may_have_run: bool,
     /// What may yet be heard of it, though it is over.
-    echo: Echo,
+    late_report: LateReport,
 }
 
 /// What a runner may yet say of an attempt that is over: words name the request, not the attempt.
 #[derive(PartialEq)]
-enum Echo {
+enum LateReport {
     /// It ended by an answer, or never began: nothing more is said.
     None,
     /// This word, again: its runner repeats a word until it hears that it was heard.
-    Word(sr::Outcome),
+    Repeat(sr::Outcome),
     /// Whatever it has to say: it was given up, or its connection broke.
     Any,
 }
 
 /// A key that is under way with a request.
-struct Held {
+struct PendingKey {
     member: keys::Member,
     text: Rc<str>,
 }
 
 struct Request<J> {
     /// Who waits for its answer, and for how long: its client, and those of repeats that joined.
-    waiting: Vec<(Ticket, sr::Time)>,
+    waiters: Vec<(Ticket, sr::Time)>,
     id: Rc<str>,
     class: u32,
     /// The last one's.
     deadline: sr::Time,
     job: J,
-    key: Option<Held>,
+    key: Option<PendingKey>,
     /// When an earlier try of it, which may have run, was sent.
-    prior: Option<sr::Time>,
+    prior_sent: Option<sr::Time>,
     answered: bool,
     attempts: Vec<Attempt>,
 }
@@ -89,35 +89,35 @@
     settings: sr::Settings,
     tables: Tables,
     /// Classes that the settings no longer name, and until when they are taken still.
-    vanished: HashMap<u32, sr::Time>,
+    removed_classes: HashMap<u32, sr::Time>,
     /// Whether a request must name its tenant.
-    with_tenants: bool,
+    requires_tenant: bool,
     /// Where the list is asked for.
-    roster: SocketAddr,
+    discovery: SocketAddr,
     /// Most requests held at once; more are refused unseen.
-    most: usize,
-    next: u32,
+    max_open: usize,
+    next_request: u32,
     requests: HashMap<u32, Request<J>>,
-    ids: HashMap<Rc<str>, u32>,
-    tickets: HashMap<Ticket, u32>,
+    requests_by_id: HashMap<Rc<str>, u32>,
+    requests_by_ticket: HashMap<Ticket, u32>,
     timers: BinaryHeap<Reverse<(sr::Time, u64, Timer)>>,
-    timers_set: u64,
+    timer_sequence: u64,
     /// When the program ends, once it is told so.
-    stop: Option<sr::Time>,
+    stop_at: Option<sr::Time>,
     /// The clients' keys, where they are kept.
     keys: Option<keys::Store>,
     /// The load digest, where one is followed.
     digest: Option<digest::Digest>,
     /// Where runners stand, by number.
-    places: HashMap<u32, keys::Place>,
+    locations: HashMap<u32, keys::Place>,
     /// What each source last said of its runners.
-    lists: BTreeMap<(Source, u32), sr::ListEntry>,
+    list_entries: BTreeMap<(Source, u32), sr::ListEntry>,
     /// Runners taken out by hand: the module hears of them as draining, whatever the lists say.
-    banned: BTreeSet<u32>,
+    disabled: BTreeSet<u32>,
     /// Runners listed, and whether each is out by hand or because it drains.
-    standings: BTreeMap<u32, bool>,
+    avoided: BTreeMap<u32, bool>,
     /// Events for the module that its own actions brought about.
-    events: VecDeque<sr::Event>,
+    pending_events: VecDeque<sr::Event>,
     actions: Vec<sr::Action>,
     effects: Vec<Effect<J>>,
     tally: Tally,
@@ -140,25 +140,25 @@
         Ok(Core {
             keys: None,
             digest: None,
-            places: HashMap::new(),
+            locations: HashMap::new(),
             balancer: sr::Balancer::new(settings.clone(), seed, now)?,
-            with_tenants: !settings.tenants.is_empty(),
-            vanished: HashMap::new(),
+            requires_tenant: !settings.tenants.is_empty(),
+            removed_classes: HashMap::new(),
             settings,
             tables,
-            roster,
-            most,
-            next: 0,
+            discovery: roster,
+            max_open: most,
+            next_request: 0,
             requests: HashMap::new(),
-            ids: HashMap::new(),
-            tickets: HashMap::new(),
+            requests_by_id: HashMap::new(),
+            requests_by_ticket: HashMap::new(),
             timers: BinaryHeap::new(),
-            timers_set: 0,
-            stop: None,
-            lists: BTreeMap::new(),
-            banned: BTreeSet::new(),
-            standings: BTreeMap::new(),
-            events: VecDeque::new(),
+            timer_sequence: 0,
+            stop_at: None,
+            list_entries: BTreeMap::new(),
+            disabled: BTreeSet::new(),
+            avoided: BTreeMap::new(),
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
             effects: Vec::new(),
             tally: Tally::default(),
@@ -172,17 +172,17 @@
 
     /// Whether a request of this id is here, answered or not.
     pub fn knows(&self, id: &str) -> bool {
-        self.ids.contains_key(id)
+        self.requests_by_id.contains_key(id)
     }
 
     /// Requests that have no final answer yet.
     pub fn open(&self) -> usize {
-        self.tickets.len()
+        self.requests_by_ticket.len()
     }
 
     /// Requests kept, answered or not, and the ids that runners know them by: none once nothing is under way.
     pub fn retained(&self) -> (usize, usize) {
-        (self.requests.len(), self.ids.len())
+        (self.requests.len(), self.requests_by_id.len())
     }
 
     /// What has been counted so far.
@@ -193,44 +193,51 @@
     /// Takes one input and says what is to be done, in this order.
     pub fn step(&mut self, now: sr::Time, input: Input<J>) -> Vec<Effect<J>> {
         match input {
-            Input::Arrived(arrival) => self.arrived(now, arrival),
-            Input::ClientGone(ticket) => self.client_gone(now, ticket),
-            Input::Started { id, from } => self.noted(now, &id, &from, sr::Note::Started),
-            Input::Progress { id, from, share } => self.noted(now, &id, &from, sr::Note::Progress(share)),
+            Input::Arrived(arrival) => self.handle_arrival(now, arrival),
+            Input::ClientGone(ticket) => self.handle_client_gone(now, ticket),
+            Input::Started { id, from } => self.handle_note(now, &id, &from, sr::Note::Started),
+            Input::Progress { id, from, share } => {
+                self.handle_note(now, &id, &from, sr::Note::Progress(share))
+            }
             Input::Finished { id, from, end: ending } => {
-                if let Some(attempt) = self.live(&id, &from) {
-                    self.told(now, attempt, ending);
+                if let Some(attempt) = self.live_attempt(&id, &from) {
+                    self.handle_finished(now, attempt, ending);
                 }
             }
             Input::AttemptEnded(attempt, ending) => {
                 let answered = ending.outcome.never_ran() || ending.outcome == sr::Outcome::Error;
-                self.ended(now, attempt, ending, if answered { Echo::None } else { Echo::Any });
+                self.end_attempt(
+                    now,
+                    attempt,
+                    ending,
+                    if answered { LateReport::None } else { LateReport::Any },
+                );
             }
-            Input::Unusable(attempt) => self.unusable(now, attempt),
+            Input::Unusable(attempt) => self.handle_unusable(now, attempt),
             Input::Probed { runner, ok, report } => {
                 if let Some(runner) = self.tables.workers.get(&runner) {
-                    self.tell(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
+                    self.notify(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
                 }
             }
-            Input::Digest(frame) => self.digest(now, &frame),
-            Input::List(source, kind, listed) => self.list(now, source, kind, listed),
-            Input::ListFailed => self.tell(now, sr::Event::ListFailed),
-            Input::ListSilent => self.tell(now, sr::Event::ListSilent),
-            Input::Reconfigure(retune) => self.retune(now, *retune),
+            Input::Digest(frame) => self.handle_digest(now, &frame),
+            Input::List(source, kind, listed) => self.handle_list(now, source, kind, listed),
+            Input::ListFailed => self.notify(now, sr::Event::ListFailed),
+            Input::ListSilent => self.notify(now, sr::Event::ListSilent),
+            Input::Reconfigure(retune) => self.reconfigure(now, *retune),
             Input::DiscoveryMoved(at) => {
                 // At once, and not when the module next asks: it waits for the old watch to fall silent.
-                if self.roster != at {
-                    self.roster = at;
+                if self.discovery != at {
+                    self.discovery = at;
                     self.effects.push(Effect::Subscribe(at));
-                    self.tell(now, sr::Event::ListMoved);
+                    self.notify(now, sr::Event::ListMoved);
                 }
             }
             Input::StopAt(at) => {
-                self.stop = Some(at);
+                self.stop_at = Some(at);
                 self.set_timer(at, Timer::Stop);
             }
             Input::SetDisabled { call, runner, disabled: out, from_peer: shared } => {
-                let result = self.hand(now, &runner, out, shared);
+                let result = self.set_disabled(now, &runner, out, shared);
                 self.effects.push(Effect::AdminResult { call, result });
             }
             Input::TimerDue => {}
--- a/node/src/core/balancer.rs
+++ b/node/src/core/balancer.rs
@@ -7,41 +7,41 @@
 
 impl<J: Clone> Core<J> {
     /// Tells the module, carries out what it asks for, and tells it what came of that.
-    pub(super) fn tell(&mut self, now: sr::Time, event: sr::Event) {
-        self.events.push_back(event);
-        self.tell_events(now);
+    pub(super) fn notify(&mut self, now: sr::Time, event: sr::Event) {
+        self.pending_events.push_back(event);
+        self.process_events(now);
     }
 
-    pub(super) fn tell_events(&mut self, now: sr::Time) {
-        while let Some(event) = self.events.pop_front() {
+    pub(super) fn process_events(&mut self, now: sr::Time) {
+        while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action);
+                self.apply_action(now, action);
             }
             self.actions = actions;
         }
     }
 
-    pub(super) fn act(&mut self, now: sr::Time, action: sr::Action) {
+    pub(super) fn apply_action(&mut self, now: sr::Time, action: sr::Action) {
         match action {
-            sr::Action::Send(id, worker) => self.start(now, id.0, worker.0),
+            sr::Action::Send(id, worker) => self.start_attempt(now, id.0, worker.0),
             sr::Action::Cancel(id, number) => {
-                self.give_up(id.0, number, sr::Outcome::Cancelled);
-                self.forget(id.0);
+                self.cancel_attempt(id.0, number, sr::Outcome::Cancelled);
+                self.remove_if_finished(id.0);
             }
             sr::Action::Refuse(id, hold_off) => {
-                self.answer(now, id.0, Answer::Refused(hold_off));
-                self.forget(id.0);
+                self.answer_request(now, id.0, Answer::Refused(hold_off));
+                self.remove_if_finished(id.0);
             }
             sr::Action::Fail(id) => {
-                self.answer(now, id.0, Answer::Failed("no attempt was answered in time"));
-                self.forget(id.0);
+                self.answer_request(now, id.0, Answer::Failed("no attempt was answered in time"));
+                self.remove_if_finished(id.0);
             }
-            sr::Action::Timer(at, token) => self.set_timer(at, Timer::Module(token)),
-            sr::Action::Subscribe => self.effects.push(Effect::Subscribe(self.roster)),
-            sr::Action::Fetch => self.effects.push(Effect::Fetch(self.roster)),
-            sr::Action::Probe(worker) if self.digest_answers(now, worker) => {}
+            sr::Action::Timer(at, token) => self.set_timer(at, Timer::Balancer(token)),
+            sr::Action::Subscribe => self.effects.push(Effect::Subscribe(self.discovery)),
+            sr::Action::Fetch => self.effects.push(Effect::Fetch(self.discovery)),
+            sr::Action::Probe(worker) if self.answer_probe_from_digest(now, worker) => {}
             sr::Action::Probe(worker) => {
                 self.effects.push(Effect::Probe(self.tables.workers.name(worker.0).to_owned()));
             }
@@ -51,9 +51,9 @@
         }
     }
 
-    pub(super) fn end_for_module(&mut self, request: u32, attempt: u32, outcome: sr::Outcome) {
+    pub(super) fn queue_attempt_end(&mut self, request: u32, attempt: u32, outcome: sr::Outcome) {
         let closed = self.requests.get(&request).is_none_or(|r| r.answered);
         let request = sr::RequestId(request);
-        self.events.push_back(sr::Event::Ended { request, attempt, outcome, closed, report: None });
+        self.pending_events.push_back(sr::Event::Ended { request, attempt, outcome, closed, report: None });
     }
 }
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -10,75 +10,81 @@
 pub(super) struct Digest {
     follower: Follower,
     /// Time between two frames, and the time without one after which it is not believed.
-    every: sr::Span,
-    silent: sr::Span,
-    heard: Option<sr::Time>,
+    interval: sr::Span,
+    max_silence: sr::Span,
+    last_frame_at: Option<sr::Time>,
 }
 
 impl Digest {
-    fn fresh(&self, now: sr::Time) -> bool {
-        self.heard.is_some_and(|heard| now - heard <= self.silent)
+    fn is_fresh(&self, now: sr::Time) -> bool {
+        self.last_frame_at.is_some_and(|heard| now - heard <= self.max_silence)
     }
 }
 
 impl<J: Clone> Core<J> {
     /// Follows a digest from now on, with a frame each `every`; it holds for so long after each frame.
     pub fn follow_digest(&mut self, every: sr::Span, silent: sr::Span) {
-        self.digest = Some(Digest { follower: Follower::default(), every, silent, heard: None });
+        self.digest = Some(Digest {
+            follower: Follower::default(),
+            interval: every,
+            max_silence: silent,
+            last_frame_at: None,
+        });
     }
 
     /// How old a runner's report is at the most: told to the module when it changes, since its age is what a
     /// report is believed by.
-    fn age_of_reports(&mut self, now: sr::Time) {
-        let age = self.digest.as_ref().filter(|digest| digest.fresh(now)).map(|digest| digest.every.secs());
+    fn update_report_age(&mut self, now: sr::Time) {
+        let age =
+            self.digest.as_ref().filter(|digest| digest.is_fresh(now)).map(|digest| digest.interval.secs());
         if self.settings.report_age != age {
             self.settings.report_age = age;
-            self.events.push_back(sr::Event::Retuned(Box::new(self.settings.clone())));
+            self.pending_events.push_back(sr::Event::Retuned(Box::new(self.settings.clone())));
         }
     }
 
     /// A frame has come. One that leaves a gap is not believed, nor is what came before it any more.
-    pub(super) fn digest(&mut self, now: sr::Time, frame: &Frame) {
+    pub(super) fn handle_digest(&mut self, now: sr::Time, frame: &Frame) {
         let Some(digest) = &mut self.digest else { return };
         match digest.follower.apply(frame) {
             ApplyOutcome::Changed(loads) => {
-                digest.heard = Some(now);
-                self.age_of_reports(now);
-                loads.iter().for_each(|load| self.digest_tells(now, load));
+                digest.last_frame_at = Some(now);
+                self.update_report_age(now);
+                loads.iter().for_each(|load| self.notify_load(now, load));
             }
             // An earlier publisher's or a repeat: no sign that what is held is up to date.
             ApplyOutcome::Stale => {}
             ApplyOutcome::Gap => {
-                digest.heard = None;
+                digest.last_frame_at = None;
                 self.effects.push(Effect::FetchDigest);
             }
         }
     }
 
     /// Whether a fresh digest covers a runner: then the module hears what the digest has, and no probe goes out.
-    pub(super) fn digest_answers(&mut self, now: sr::Time, worker: sr::WorkerId) -> bool {
-        self.age_of_reports(now);
+    pub(super) fn answer_probe_from_digest(&mut self, now: sr::Time, worker: sr::WorkerId) -> bool {
+        self.update_report_age(now);
         let name = self.tables.workers.name(worker.0);
         let load = self
             .digest
             .as_ref()
-            .filter(|digest| digest.fresh(now))
+            .filter(|digest| digest.is_fresh(now))
             .and_then(|digest| digest.follower.load_of(name));
         let Some(load) = load else { return false };
-        let event = self.digest_event(worker, &load);
-        self.events.push_back(event);
+        let event = self.load_event(worker, &load);
+        self.pending_events.push_back(event);
         true
     }
 
-    fn digest_tells(&mut self, now: sr::Time, load: &Load) {
+    fn notify_load(&mut self, now: sr::Time, load: &Load) {
         // One that no list has named yet is heard of again when the module asks for it.
         if let Some(worker) = self.tables.workers.get(&load.runner) {
-            let event = self.digest_event(sr::WorkerId(worker), load);
-            self.tell(now, event);
+            let event = self.load_event(sr::WorkerId(worker), load);
+            self.notify(now, event);
         }
     }
 
-    fn digest_event(&self, worker: sr::WorkerId, load: &Load) -> sr::Event {
+    fn load_event(&self, worker: sr::WorkerId, load: &Load) -> sr::Event {
         let fields = self.digest.iter().flat_map(|digest| digest.follower.fields());
         let figures = fields.map(String::as_str).zip(load.values.iter().copied());
         let report = load.ok.then(|| self.tables.named_report(figures));
--- a/node/src/core/disabled.rs
+++ b/node/src/core/disabled.rs
@@ -11,17 +11,17 @@
     /// module's choice.
     pub fn runner_counts(&self) -> (usize, usize) {
         let avoided = |(worker, out): &(&u32, &bool)| **out || self.balancer.avoids(sr::WorkerId(**worker));
-        (self.standings.len(), self.standings.iter().filter(avoided).count())
+        (self.avoided.len(), self.avoided.iter().filter(avoided).count())
     }
 
     /// The runners taken out by hand, by name.
     pub fn disabled_runners(&self) -> impl Iterator<Item = &str> {
-        self.banned.iter().map(|worker| self.tables.workers.name(*worker))
+        self.disabled.iter().map(|worker| self.tables.workers.name(*worker))
     }
 
     /// Takes a runner out by hand, or puts it back: the module hears of it as of a drain, or of the list's
     /// own word again. Asking twice changes nothing; a name never listed is turned down.
-    pub(super) fn hand(
+    pub(super) fn set_disabled(
         &mut self,
         now: sr::Time,
         runner: &str,
@@ -32,28 +32,28 @@
             true => self.tables.workers.intern(runner),
             false => self.tables.workers.get(runner).ok_or("no runner of that id was ever listed")?,
         };
-        let changed = if out { self.banned.insert(worker) } else { self.banned.remove(&worker) };
+        let changed = if out { self.disabled.insert(worker) } else { self.disabled.remove(&worker) };
         if !changed {
             return Ok(());
         }
         let entries: Vec<_> =
-            self.lists.iter().filter(|((_, w), _)| *w == worker).map(|(_, e)| e.clone()).collect();
+            self.list_entries.iter().filter(|((_, w), _)| *w == worker).map(|(_, e)| e.clone()).collect();
         if !entries.is_empty() {
-            let mut entries = self.as_told(entries);
+            let mut entries = self.with_disabled_as_draining(entries);
             if !out && self.settings.drain_binds_alone {
                 // There a drain holds until a later start: to the module the runner starts now, and cold.
                 entries.iter_mut().for_each(|entry| entry.up_since = Some(now));
             }
-            self.tell(now, sr::Event::List(sr::ListKind::Delta, entries));
+            self.notify(now, sr::Event::List(sr::ListKind::Delta, entries));
         }
-        self.count_runners();
+        self.update_avoided();
         Ok(())
     }
 
     /// Entries as the module is to hear them: a runner taken out by hand drains.
-    pub(super) fn as_told(&self, mut entries: Vec<sr::ListEntry>) -> Vec<sr::ListEntry> {
+    pub(super) fn with_disabled_as_draining(&self, mut entries: Vec<sr::ListEntry>) -> Vec<sr::ListEntry> {
         for entry in &mut entries {
-            if self.banned.contains(&entry.worker.0) && entry.standing == sr::Standing::Ready {
+            if self.disabled.contains(&entry.worker.0) && entry.standing == sr::Standing::Ready {
                 entry.standing = sr::Standing::Draining;
             }
         }
@@ -61,12 +61,12 @@
     }
 
     /// Notes how the listed runners stand, once a list or a hand has changed that.
-    pub(super) fn count_runners(&mut self) {
+    pub(super) fn update_avoided(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
-        for ((_, worker), entry) in &self.lists {
-            let avoided = self.banned.contains(worker) || entry.standing != sr::Standing::Ready;
+        for ((_, worker), entry) in &self.list_entries {
+            let avoided = self.disabled.contains(worker) || entry.standing != sr::Standing::Ready;
             *listed.entry(*worker).or_insert(true) &= avoided;
         }
-        self.standings = listed;
+        self.avoided = listed;
     }
 }
--- a/node/src/core/idempotency.rs
+++ b/node/src/core/idempotency.rs
@@ -25,11 +25,11 @@
 
     /// Where a request under way may have run so far; for a snapshot of the keys.
     pub fn sent(&self, run: keys::RunId) -> Option<keys::SentAttempts> {
-        self.requests.get(&(run.0 as u32)).and_then(|request| self.sent_of(request))
+        self.requests.get(&(run.0 as u32)).and_then(|request| self.sends_that_may_have_run(request))
     }
 
     /// The answer to a request whose key lets it neither begin nor join.
-    pub(super) fn turned(&self, admission: keys::Admission) -> Answer {
+    pub(super) fn key_rejection(&self, admission: keys::Admission) -> Answer {
         use keys::Admission::*;
         match admission {
             Replay(result) => Answer::Served(result),
@@ -51,10 +51,10 @@
     }
 
     /// The sendings of a request that may have run.
-    pub(super) fn sent_of(&self, request: &Request<J>) -> Option<keys::SentAttempts> {
+    pub(super) fn sends_that_may_have_run(&self, request: &Request<J>) -> Option<keys::SentAttempts> {
         let ran = request.attempts.iter().filter(|attempt| attempt.may_have_run);
         let sent = ran.map(|attempt| {
-            let place = self.places.get(&attempt.runner).copied().map(|place| {
+            let place = self.locations.get(&attempt.runner).copied().map(|place| {
                 // Only as much of it as tells halls apart that drop a repeat for each other.
                 match self.settings.classes[request.class as usize].effect {
                     sr::Effect::Keyed(sr::Group::All) => keys::Place { zone: 0, cell: 0 },
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -7,7 +7,7 @@
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    pub(super) fn list(
+    pub(super) fn handle_list(
         &mut self,
         now: sr::Time,
         source: Source,
@@ -18,7 +18,7 @@
         for runner in listed {
             let worker = self.tables.workers.intern(&runner.name);
             let zone = self.tables.zones.intern(&runner.zone);
-            self.places.insert(worker, keys::Place { zone, cell: runner.cell });
+            self.locations.insert(worker, keys::Place { zone, cell: runner.cell });
             changed.push(sr::ListEntry {
                 worker: sr::WorkerId(worker),
                 zone: sr::ZoneId(zone),
@@ -33,19 +33,20 @@
             for entry in &changed {
                 let key = (source, entry.worker.0);
                 match entry.standing {
-                    sr::Standing::Gone => self.lists.remove(&key),
-                    _ => self.lists.insert(key, entry.clone()),
+                    sr::Standing::Gone => self.list_entries.remove(&key),
+                    _ => self.list_entries.insert(key, entry.clone()),
                 };
             }
         } else {
             // Whole for its source alone: the others' runners stay on the list.
-            self.lists.retain(|(from, _), _| *from != source);
-            self.lists.extend(changed.iter().map(|entry| ((source, entry.worker.0), entry.clone())));
-            changed
-                .extend(self.lists.iter().filter(|((from, _), _)| *from != source).map(|(_, e)| e.clone()));
+            self.list_entries.retain(|(from, _), _| *from != source);
+            self.list_entries.extend(changed.iter().map(|entry| ((source, entry.worker.0), entry.clone())));
+            changed.extend(
+                self.list_entries.iter().filter(|((from, _), _)| *from != source).map(|(_, e)| e.clone()),
+            );
         }
-        self.count_runners();
-        let changed = self.as_told(changed);
-        self.tell(now, sr::Event::List(kind, changed));
+        self.update_avoided();
+        let changed = self.with_disabled_as_draining(changed);
+        self.notify(now, sr::Event::List(kind, changed));
     }
 }
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -23,20 +23,20 @@
     /// The number and the terms of a class that a client may name now.
     pub fn class(&self, now: sr::Time, name: &str) -> Option<(u32, &sr::Class)> {
         let number = self.tables.classes.get(name)?;
-        let gone = self.vanished.get(&number).is_some_and(|until| now >= *until);
+        let gone = self.removed_classes.get(&number).is_some_and(|until| now >= *until);
         if gone { None } else { Some((number, self.settings.classes.get(number as usize)?)) }
     }
 
     /// Whether a request must name its tenant.
     pub fn requires_tenant(&self) -> bool {
-        self.with_tenants
+        self.requires_tenant
     }
 
     /// Puts new settings to use for what comes from now on; what is under way keeps its class, and makes
     /// no more attempts than both settings allow.
-    pub(super) fn retune(&mut self, now: sr::Time, retune: Reconfiguration) {
+    pub(super) fn reconfigure(&mut self, now: sr::Time, retune: Reconfiguration) {
         let Reconfiguration { settings, tables, rules, until } = retune;
-        self.with_tenants = !settings.tenants.is_empty();
+        self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let renewed = reconcile(&self.settings, &mut self.tables, settings, &tables);
         let report_age = self.settings.report_age;
@@ -48,11 +48,11 @@
         }
         for number in 0..self.settings.classes.len() as u32 {
             if renewed.classes.contains(&number) {
-                self.vanished.remove(&number);
+                self.removed_classes.remove(&number);
             } else {
-                self.vanished.entry(number).or_insert(until);
+                self.removed_classes.entry(number).or_insert(until);
             }
         }
-        self.tell(now, sr::Event::Retuned(Box::new(self.settings.clone())));
+        self.notify(now, sr::Event::Retuned(Box::new(self.settings.clone())));
     }
 }
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -3,32 +3,32 @@
 //! twice or late, nor choose a runner.
 
 use super::timers::Timer;
-use super::{Answer, Arrival, Core, Effect, Held, Request, Ticket};
+use super::{Answer, Arrival, Core, Effect, PendingKey, Request, Ticket};
 use bytes::Bytes;
 use sablerun as sr;
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    pub(super) fn arrived(&mut self, now: sr::Time, arrival: Arrival<J>) {
+    pub(super) fn handle_arrival(&mut self, now: sr::Time, arrival: Arrival<J>) {
         self.tally.taken += 1;
         let Arrival { ticket, id, class, tenant, deadline, slots, memory, estimate, retry, key, job } =
             arrival;
-        if self.tickets.len() >= self.most {
+        if self.requests_by_ticket.len() >= self.max_open {
             // Nothing of it has run: a refusal is safe for every class.
-            return self.at_once(ticket, Answer::Refused(self.hold_off()));
+            return self.answer_ticket(ticket, Answer::Refused(self.hold_off()));
         }
         // Runners tell requests apart by their ids: a second one under a live id can't be sent.
-        let twin = self.ids.get(&id).and_then(|twin| self.requests.get(twin));
+        let twin = self.requests_by_id.get(&id).and_then(|twin| self.requests.get(twin));
         let same_key = |twin: &Request<J>| match (&twin.key, &key) {
             (Some(held), Some(key)) => held.text == key.text && !twin.answered,
             _ => false,
         };
         if twin.is_some_and(|twin| !same_key(twin)) {
-            return self.at_once(ticket, Answer::Failed("a request with this id is under way"));
+            return self.answer_ticket(ticket, Answer::Failed("a request with this id is under way"));
         }
         // Nobody answers after the end.
-        let deadline = self.stop.map_or(deadline, |stop| deadline.min(stop));
-        let number = self.next;
+        let deadline = self.stop_at.map_or(deadline, |stop| deadline.min(stop));
+        let number = self.next_request;
         let member = tenant.map_or(keys::Member::NONE, keys::Member);
         let mut prior = None;
         if let (Some(store), Some(key)) = (&mut self.keys, &key) {
@@ -45,27 +45,28 @@
                     let place = sent.place.unwrap_or(keys::Place { zone: u32::MAX, cell: 0 });
                     prior = Some(sr::Prior { zone: place.zone(), cell: place.cell, sent: sent.first_at });
                 }
-                keys::Admission::Join(run) => return self.join(now, run.0 as u32, ticket, deadline),
+                keys::Admission::Join(run) => return self.join_request(now, run.0 as u32, ticket, deadline),
                 other => {
-                    let answer = self.turned(other);
-                    return self.at_once(ticket, answer);
+                    let answer = self.key_rejection(other);
+                    return self.answer_ticket(ticket, answer);
                 }
             }
         }
-        self.next = self.next.wrapping_add(1);
-        self.ids.insert(id.clone(), number);
-        self.tickets.insert(ticket, number);
-        let key = key.filter(|_| self.keys.is_some()).map(|key| Held { member, text: key.text });
+        self.next_request = self.next_request.wrapping_add(1);
+        self.requests_by_id.insert(id.clone(), number);
+        self.requests_by_ticket.insert(ticket, number);
+        let key = key.filter(|_| self.keys.is_some()).map(|key| PendingKey { member, text: key.text });
         let (waiting, attempts) = (vec![(ticket, deadline)], Vec::new());
         let (sent, answered) = (prior.as_ref().map(|prior| prior.sent), false);
-        let request = Request { waiting, id, class, deadline, job, key, prior: sent, answered, attempts };
+        let request =
+            Request { waiters: waiting, id, class, deadline, job, key, prior_sent: sent, answered, attempts };
         self.requests.insert(number, request);
         self.set_timer(deadline, Timer::Deadline(number));
         let arrival = sr::Arrival {
             request: sr::RequestId(number),
             class: sr::ClassId(class),
             // Its key's member stays; but where no tenant has a share, nobody is beyond one.
-            tenant: tenant.filter(|_| self.with_tenants).map(sr::TenantId),
+            tenant: tenant.filter(|_| self.requires_tenant).map(sr::TenantId),
             deadline,
             slots,
             memory,
@@ -73,7 +74,7 @@
             retry,
             prior,
         };
-        self.tell(now, sr::Event::Arrival(arrival));
+        self.notify(now, sr::Event::Arrival(arrival));
     }
 
     /// How long whoever is refused unseen is to stay away.
@@ -83,7 +84,7 @@
     }
 
     /// Answers a ticket, which waits no more.
-    pub(super) fn at_once(&mut self, ticket: Ticket, answer: Answer) {
+    pub(super) fn answer_ticket(&mut self, ticket: Ticket, answer: Answer) {
         match answer {
             Answer::Served(_) => self.tally.served += 1,
             Answer::Refused(_) => self.tally.refused += 1,
@@ -94,53 +95,54 @@
     }
 
     /// A repeat waits for the answer of the request under way, each client by its own deadline.
-    pub(super) fn join(&mut self, now: sr::Time, request: u32, ticket: Ticket, deadline: sr::Time) {
+    pub(super) fn join_request(&mut self, now: sr::Time, request: u32, ticket: Ticket, deadline: sr::Time) {
         let Some(held) = self.requests.get_mut(&request).filter(|held| !held.answered) else {
             // A key is under way only with a request that is not answered: this is for nobody to meet.
-            return self.at_once(ticket, Answer::Failed("an earlier try under this key has just ended"));
+            return self
+                .answer_ticket(ticket, Answer::Failed("an earlier try under this key has just ended"));
         };
-        held.waiting.push((ticket, deadline));
+        held.waiters.push((ticket, deadline));
         let later = deadline > held.deadline;
         held.deadline = held.deadline.max(deadline);
-        self.tickets.insert(ticket, request);
+        self.requests_by_ticket.insert(ticket, request);
         self.set_timer(deadline, Timer::Deadline(request));
         if later {
-            self.tell(now, sr::Event::Extended(sr::RequestId(request), deadline));
+            self.notify(now, sr::Event::Extended(sr::RequestId(request), deadline));
         }
     }
 
     /// A client has left: its request goes on while others wait for it.
-    pub(super) fn client_gone(&mut self, now: sr::Time, ticket: Ticket) {
-        let Some(request) = self.tickets.remove(&ticket) else { return };
+    pub(super) fn handle_client_gone(&mut self, now: sr::Time, ticket: Ticket) {
+        let Some(request) = self.requests_by_ticket.remove(&ticket) else { return };
         self.tally.left += 1;
         let Some(held) = self.requests.get_mut(&request) else { return };
-        held.waiting.retain(|(waiting, _)| *waiting != ticket);
-        if held.waiting.is_empty() {
-            self.answered(now, request, None);
-            self.tell(now, sr::Event::Closed(sr::RequestId(request)));
-            self.forget(request);
+        held.waiters.retain(|(waiting, _)| *waiting != ticket);
+        if held.waiters.is_empty() {
+            self.close_request(now, request, None);
+            self.notify(now, sr::Event::Closed(sr::RequestId(request)));
+            self.remove_if_finished(request);
         }
     }
 
     /// Gives the final answer to all who wait, unless there has been one.
-    pub(super) fn answer(&mut self, now: sr::Time, request: u32, answer: Answer) {
+    pub(super) fn answer_request(&mut self, now: sr::Time, request: u32, answer: Answer) {
         let Some(held) = self.requests.get_mut(&request).filter(|r| !r.answered) else { return };
-        let waiting = std::mem::take(&mut held.waiting);
+        let waiting = std::mem::take(&mut held.waiters);
         for (ticket, _) in waiting {
-            self.tickets.remove(&ticket);
-            self.at_once(ticket, answer.clone());
+            self.requests_by_ticket.remove(&ticket);
+            self.answer_ticket(ticket, answer.clone());
         }
         let result = if let Answer::Served(result) = answer { Some(result) } else { None };
-        self.answered(now, request, result);
+        self.close_request(now, request, result);
     }
 
     /// Nobody waits any more; what is known of the key is kept.
-    pub(super) fn answered(&mut self, now: sr::Time, request: u32, result: Option<Bytes>) {
+    pub(super) fn close_request(&mut self, now: sr::Time, request: u32, result: Option<Bytes>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
         held.answered = true;
         let Some(key) = held.key.take() else { return };
         let held = &self.requests[&request];
-        let fate = match (result, self.sent_of(held)) {
+        let fate = match (result, self.sends_that_may_have_run(held)) {
             (Some(result), _) => keys::Resolution::Served(result),
             (None, Some(sent)) => keys::Resolution::MayHaveRun(sent),
             (None, None) => keys::Resolution::NeverRan,
@@ -151,42 +153,42 @@
     }
 
     /// Drops a request that is answered and has no attempt out.
-    pub(super) fn forget(&mut self, request: u32) {
+    pub(super) fn remove_if_finished(&mut self, request: u32) {
         if self.requests.get(&request).is_some_and(|r| r.answered && r.attempts.iter().all(|a| !a.live)) {
             let held = self.requests.remove(&request).expect("looked up above");
-            self.ids.remove(&held.id);
+            self.requests_by_id.remove(&held.id);
         }
     }
 
     /// The client's deadline, or the program's end: whatever the module says, the client hears now, and
     /// what is still out has timed out. The answer comes first: the module must not try again on a
     /// time-out that it hears of here.
-    pub(super) fn overdue(&mut self, now: sr::Time, request: u32, stopped: bool) {
+    pub(super) fn expire_request(&mut self, now: sr::Time, request: u32, stopped: bool) {
         let hold_off = self.hold_off();
         if let Some(held) = self.requests.get_mut(&request).filter(|r| !r.answered) {
             // What was never sent can be tried again by any class.
-            let answer = match held.attempts.is_empty() && held.prior.is_none() {
+            let answer = match held.attempts.is_empty() && held.prior_sent.is_none() {
                 true => Answer::Refused(hold_off),
                 false => Answer::Failed("not done by the deadline"),
             };
             let ends = |(_, deadline): &mut (Ticket, sr::Time)| *deadline <= now || stopped;
-            let due: Vec<_> = held.waiting.extract_if(.., ends).collect();
-            let others = !held.waiting.is_empty();
+            let due: Vec<_> = held.waiters.extract_if(.., ends).collect();
+            let others = !held.waiters.is_empty();
             for (ticket, _) in due {
-                self.tickets.remove(&ticket);
-                self.at_once(ticket, answer.clone());
+                self.requests_by_ticket.remove(&ticket);
+                self.answer_ticket(ticket, answer.clone());
             }
             if others {
                 return;
             }
-            self.answered(now, request, None);
-            self.tell(now, sr::Event::Closed(sr::RequestId(request)));
+            self.close_request(now, request, None);
+            self.notify(now, sr::Event::Closed(sr::RequestId(request)));
         }
         let attempts = self.requests.get(&request).map_or(0, |held| held.attempts.len());
         for number in 0..attempts as u32 {
-            self.give_up(request, number, sr::Outcome::Timeout);
+            self.cancel_attempt(request, number, sr::Outcome::Timeout);
         }
-        self.tell_events(now);
-        self.forget(request);
+        self.process_events(now);
+        self.remove_if_finished(request);
     }
 }
--- a/node/src/core/timers.rs
+++ b/node/src/core/timers.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    Module(u64),
+    Balancer(u64),
     Deadline(u32),
     Stop,
 }
@@ -20,8 +20,8 @@
     }
 
     pub(super) fn set_timer(&mut self, at: sr::Time, timer: Timer) {
-        self.timers_set += 1;
-        self.timers.push(Reverse((at, self.timers_set, timer)));
+        self.timer_sequence += 1;
+        self.timers.push(Reverse((at, self.timer_sequence, timer)));
     }
 
     pub(super) fn run_timers(&mut self, now: sr::Time) {
@@ -35,12 +35,12 @@
         }
         for timer in due {
             match timer {
-                Timer::Module(token) => self.tell(now, sr::Event::Timer(token)),
-                Timer::Deadline(request) => self.overdue(now, request, false),
+                Timer::Balancer(token) => self.notify(now, sr::Event::Timer(token)),
+                Timer::Deadline(request) => self.expire_request(now, request, false),
                 Timer::Stop => {
                     let mut open: Vec<u32> = self.requests.keys().copied().collect();
                     open.sort_unstable();
-                    open.into_iter().for_each(|request| self.overdue(now, request, true));
+                    open.into_iter().for_each(|request| self.expire_request(now, request, true));
                 }
             }
         }
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, Args)]
 pub struct Jobs {
     #[command(subcommand)]
-    what: What,
+    command: JobsCommand,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum JobsCommand {
     /// List jobs, the newest first.
     List(List),
     /// List the jobs that are out of tries, with what they said last.
@@ -101,7 +101,7 @@
         }
     }
 
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Standing::Waiting => "waiting",
             Standing::Leased => "leased",
@@ -114,8 +114,8 @@
 
 /// Does what is asked for. All text goes out as it is made: a reader may have seen enough.
 pub fn run(jobs: &Jobs) -> Result<(), String> {
-    let done = match &jobs.what {
-        What::List(list) => {
+    let done = match &jobs.command {
+        JobsCommand::List(list) => {
             let (_, loaded) = open(&list.file)?;
             let wanted = |job: &&Job| {
                 let is = |want: &Option<String>, number| {
@@ -128,19 +128,19 @@
             let all: Vec<_> = loaded.jobs.iter().rev().filter(wanted).take(list.most).collect();
             print_list(&loaded, &all, list.json)
         }
-        What::Dead { file, json } => {
+        JobsCommand::Dead { file, json } => {
             let (_, loaded) = open(file)?;
             let dead = |job: &&Job| Standing::of(job) == Standing::Dead;
             let all: Vec<_> = loaded.jobs.iter().rev().filter(dead).collect();
             print_list(&loaded, &all, *json)
         }
-        What::Show { file, id } => {
+        JobsCommand::Show { file, id } => {
             let (_, loaded) = open(file)?;
             let job = loaded.jobs.iter().find(|job| job.id.0 == *id);
-            let job = job.ok_or_else(|| unknown(*id, file))?;
-            writeln!(io::stdout(), "{:#}", whole(&loaded, job))
+            let job = job.ok_or_else(|| no_such_job(*id, file))?;
+            writeln!(io::stdout(), "{:#}", job_json(&loaded, job))
         }
-        What::Retry { file, ids } => {
+        JobsCommand::Retry { file, ids } => {
             let revived = retry(file, ids)?;
             writeln!(
                 io::stdout(),
@@ -148,13 +148,13 @@
                 file.display()
             )
         }
-        What::Export { file } => {
+        JobsCommand::Export { file } => {
             let (_, loaded) = open(file)?;
             let mut out = io::BufWriter::new(io::stdout().lock());
-            let lines = loaded.jobs.iter().try_for_each(|job| writeln!(out, "{}", whole(&loaded, job)));
+            let lines = loaded.jobs.iter().try_for_each(|job| writeln!(out, "{}", job_json(&loaded, job)));
             lines.and_then(|()| out.flush())
         }
-        What::Verify { file, json } => {
+        JobsCommand::Verify { file, json } => {
             let (_, loaded) = open(file)?;
             let broken = verify(&loaded);
             let told = if *json {
@@ -175,7 +175,7 @@
     ignore_broken_pipe(done)
 }
 
-fn unknown(id: u64, file: &Path) -> String {
+fn no_such_job(id: u64, file: &Path) -> String {
     format!("{id}: no such job in {}; `sablerun jobs list` shows those that there are", file.display())
 }
 
@@ -199,7 +199,7 @@
 }
 
 /// A job as JSON, with all that is known of it.
-fn whole(loaded: &StoreContents, job: &Job) -> Value {
+fn job_json(loaded: &StoreContents, job: &Job) -> Value {
     let (at, result) = match &job.state {
         State::Waiting { due_at: at }
         | State::Dead { finished_at: at }
@@ -212,7 +212,7 @@
         "member": name(loaded, job.member),
         "class": name(loaded, job.class),
         "key": job.key.as_ref().map(|key| text(key)),
-        "state": Standing::of(job).word(),
+        "state": Standing::of(job).name(),
         "state_time_unix_ns": at.0,
         "accepted_unix_ns": job.accepted_at.0,
         "lease_s": job.lease.secs(),
@@ -228,7 +228,7 @@
 fn print_list(loaded: &StoreContents, jobs: &[&Job], json: bool) -> io::Result<()> {
     let mut out = io::BufWriter::new(io::stdout().lock());
     if json {
-        let all: Vec<_> = jobs.iter().map(|job| whole(loaded, job)).collect();
+        let all: Vec<_> = jobs.iter().map(|job| job_json(loaded, job)).collect();
         writeln!(out, "{}", Value::from(all))?;
         return out.flush();
     }
@@ -246,7 +246,7 @@
             out,
             "{:>8} {:<10} {:<14} {:<14} {:>2}/{:<2} {:>6} {:>9.1}  {short}",
             job.id.0,
-            Standing::of(job).word(),
+            Standing::of(job).name(),
             name(loaded, job.member),
             name(loaded, job.class),
             job.attempts,
@@ -261,9 +261,9 @@
 fn retry(file: &Path, ids: &[u64]) -> Result<usize, String> {
     let (mut disk, loaded) = open(file)?;
     for id in ids {
-        let job = loaded.jobs.iter().find(|job| job.id.0 == *id).ok_or_else(|| unknown(*id, file))?;
+        let job = loaded.jobs.iter().find(|job| job.id.0 == *id).ok_or_else(|| no_such_job(*id, file))?;
         if Standing::of(job) != Standing::Dead {
-            return Err(format!("{id}: is {}, and only a dead job is tried again", Standing::of(job).word()));
+            return Err(format!("{id}: is {}, and only a dead job is tried again", Standing::of(job).name()));
         }
     }
     // No lease is given and nothing is forgotten here: who opens the store next does that.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -26,11 +26,11 @@
     let done = match cli.command.unwrap_or(Command::Run(cli.run)) {
         Command::Run(args) => {
             logging::start(args.log);
-            return to_the_end(run(args.config));
+            return run_service(run(args.config));
         }
         Command::Digest(args) => {
             logging::start(args.log);
-            return to_the_end(async { publisher::run(publisher::Config::read(&args.config)?).await });
+            return run_service(async { publisher::run(publisher::Config::read(&args.config)?).await });
         }
         Command::Check(args) => check(&args),
         Command::Keys(args) => cli::keys(&args),
@@ -46,7 +46,7 @@
 }
 
 /// Serves until the program is told to end, or can't.
-fn to_the_end(service: impl Future<Output = Result<(), String>>) -> ExitCode {
+fn run_service(service: impl Future<Output = Result<(), String>>) -> ExitCode {
     match actix_rt::System::new().block_on(service) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
@@ -90,10 +90,10 @@
     let snapshot_file = kept.as_ref().and_then(|kept| kept.snapshot.clone());
     let clock = Clock::new();
     let store = limits.key_bounds.zip(rules).map(|(bounds, rules)| keys::Store::new(bounds, rules));
-    let place = snapshot_file.as_ref().map(snapshots::Place::take).transpose()?;
-    let store = store.map(|store| snapshots::remember(store, &doubts, &tables, place.as_ref(), clock.now()));
+    let place = snapshot_file.as_ref().map(snapshots::LockedSnapshot::lock).transpose()?;
+    let store = store.map(|store| snapshots::restore(store, &doubts, &tables, place.as_ref(), clock.now()));
     let runtime = assembly::build_runtime(&config, (settings, tables), clock, limits, store)?;
-    if let (Some(place), Some(now)) = (&place, snapshots::of(&runtime, false)) {
+    if let (Some(place), Some(now)) = (&place, snapshots::capture(&runtime, false)) {
         // Before the first request: else a kill would leave an orderly end's snapshot to be trusted.
         place.write(&now).map_err(|e| format!("keys.snapshot.file: {e}"))?;
     }
@@ -179,7 +179,7 @@
     let writer = place.map(|place| Rc::new(snapshots::Writer::start(place)));
     let writing = writer.clone().map(|writer| {
         let held = runtime.clone();
-        actix_rt::spawn(async move { writer.keep_up(&held).await })
+        actix_rt::spawn(async move { writer.write_periodically(&held).await })
     });
     let mut summary = tokio::time::interval(runtime.limits.summary_interval);
     loop {
@@ -212,7 +212,7 @@
         let _ = writing.await;
     }
     if let Some(writer) = writer.and_then(Rc::into_inner) {
-        writer.end(snapshots::of(&runtime, true));
+        writer.finish(snapshots::capture(&runtime, true));
     }
     log::info!("ends: {}", runtime.summary());
     Ok(())
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 /// Most classes counted; what clients name beyond that is not.
-const MOST_CLASSES: usize = 64;
+const MAX_CLASSES: usize = 64;
 
 /// How a job's final answer counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,17 +65,17 @@
 impl Metrics {
     /// The counters of a class, made on first use.
     pub fn class(&self, name: &str) -> Arc<ClassMetrics> {
-        self.find_or_make(name, usize::MAX).unwrap_or_default()
+        self.find_or_create(name, usize::MAX).unwrap_or_default()
     }
 
     /// The counters of a class that clients name, where the registry has room for one more: names
     /// that no class has must not grow it without end.
     pub fn class_if_room(&self, name: &str) -> Option<Arc<ClassMetrics>> {
-        self.find_or_make(name, MOST_CLASSES)
+        self.find_or_create(name, MAX_CLASSES)
     }
 
     /// A class's counters, made where fewer than `most` classes are known.
-    fn find_or_make(&self, name: &str, most: usize) -> Option<Arc<ClassMetrics>> {
+    fn find_or_create(&self, name: &str, most: usize) -> Option<Arc<ClassMetrics>> {
         // A poisoned lock only means that a thread panicked while it held it; the counters stay true.
         let mut classes = self.classes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some((_, figures)) = classes.iter().find(|(known, _)| known == name) {
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -108,9 +108,9 @@
     /// The same from the file's text. A file that holds the Faktory front's keys at its top, as files did
     /// before there were sections, is understood as that section alone.
     pub fn parse(text: &str) -> Result<Operator, String> {
-        let table: toml::Table = toml::from_str(text).map_err(|e| at(text, e.span(), e.message()))?;
+        let table: toml::Table = toml::from_str(text).map_err(|e| with_line(text, e.span(), e.message()))?;
         if !table.contains_key("listen") {
-            return section(text);
+            return parse_section(text);
         }
         if let Some(other) = ["faktory", "keys", "digest"].into_iter().find(|name| table.contains_key(*name))
         {
@@ -119,7 +119,7 @@
                  [faktory] to use sections"
             ));
         }
-        Ok(Operator { faktory: Some(section(text)?), ..Operator::default() })
+        Ok(Operator { faktory: Some(parse_section(text)?), ..Operator::default() })
     }
 
     /// Whether the file makes sense with these settings and so much memory.
@@ -141,17 +141,17 @@
     }
 }
 
-fn section<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, String> {
-    let toml = toml::Deserializer::parse(text).map_err(|e| at(text, e.span(), e.message()))?;
+fn parse_section<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, String> {
+    let toml = toml::Deserializer::parse(text).map_err(|e| with_line(text, e.span(), e.message()))?;
     serde_path_to_error::deserialize(toml).map_err(|e| {
         let (path, inner) = (e.path().to_string(), e.inner());
         let message = inner.message().replace('\n', " ");
-        at(text, inner.span(), &if path == "." { message } else { format!("{path}: {message}") })
+        with_line(text, inner.span(), &if path == "." { message } else { format!("{path}: {message}") })
     })
 }
 
 /// An error with the line that it is about.
-fn at(text: &str, span: Option<std::ops::Range<usize>>, message: &str) -> String {
+fn with_line(text: &str, span: Option<std::ops::Range<usize>>, message: &str) -> String {
     let message = message.replace('\n', " ");
     match span.and_then(|span| text.get(..span.start)) {
         Some(before) => format!("line {}: {message}", before.matches('\n').count() + 1),
--- a/node/src/publisher.rs
+++ b/node/src/publisher.rs
@@ -16,7 +16,7 @@
 use tokio::sync::broadcast;
 
 /// Frames that a follower may be behind: then its stream ends, and it asks for the whole.
-const BEHIND: usize = 16;
+const MAX_FRAMES_BEHIND: usize = 16;
 
 /// What the parts share.
 struct Shared {
@@ -36,7 +36,7 @@
     let epoch = unix_now().0 / 1000;
     let shared = Rc::new(Shared {
         publisher: RefCell::new(Publisher::new(epoch, &config.fields)),
-        frames: broadcast::channel(BEHIND).0,
+        frames: broadcast::channel(MAX_FRAMES_BEHIND).0,
         config,
     });
     actix_rt::spawn(loads::follow(shared.clone()));
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -6,52 +6,52 @@
 mod job;
 mod links;
 mod observer;
-mod telling;
-mod waiting;
+mod reporting;
+mod tickets;
 
 pub use clock::{Clock, unix_now};
 pub use job::Job;
 pub use links::{DigestSource, Link, RunnerListSource};
 pub use observer::Observer;
-pub use waiting::ClientGuard;
+pub use tickets::ClientGuard;
 
 use crate::core::{Answer, AttemptId, Core, Effect, Input, Ticket};
 use crate::limits::Limits;
 use crate::metrics::{AnswerKind, ClassMetrics, Metrics};
+use reporting::log_input;
 use sablerun as sr;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use telling::tell_of;
+use tickets::Waiter;
 use tokio::sync::Notify;
-use waiting::Waiting;
 
 /// The core and what surrounds it.
 pub struct Runtime {
     pub limits: Limits,
     pub clock: Clock,
     core: RefCell<Core<Rc<Job>>>,
-    inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
+    pending_inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
     stepping: Cell<bool>,
     links: RefCell<Vec<Rc<dyn Link>>>,
-    roster: RefCell<Option<Rc<dyn RunnerListSource>>>,
-    digests: RefCell<Option<Rc<dyn DigestSource>>>,
-    waiting: RefCell<HashMap<Ticket, Waiting>>,
+    list_source: RefCell<Option<Rc<dyn RunnerListSource>>>,
+    digest_source: RefCell<Option<Rc<dyn DigestSource>>>,
+    waiters: RefCell<HashMap<Ticket, Waiter>>,
     /// The figures that the operators' door reads.
     pub metrics: Arc<Metrics>,
     /// The counters of each class, by number: found without the registry's lock.
-    classes: RefCell<Vec<Arc<ClassMetrics>>>,
+    metrics_by_class: RefCell<Vec<Arc<ClassMetrics>>>,
     /// Operators' calls under way, and what came of the last.
-    handed: RefCell<Option<(u64, Result<(), &'static str>)>>,
-    tickets: Cell<u64>,
+    admin_result: RefCell<Option<(u64, Result<(), &'static str>)>>,
+    last_ticket: Cell<u64>,
     /// When the runners were last counted.
-    counted: Cell<Instant>,
-    retimed: Notify,
+    runners_counted_at: Cell<Instant>,
+    timer_changed: Notify,
     stopping: Cell<bool>,
     /// The longest deadline of the settings in force.
-    longest: Cell<Duration>,
+    longest_deadline: Cell<Duration>,
     /// Who looks on: nobody, but where the lab plays dispatchers in its own process.
     observer: OnceCell<Rc<dyn Observer>>,
 }
@@ -62,20 +62,20 @@
             limits,
             clock,
             core: RefCell::new(core),
-            inputs: RefCell::default(),
+            pending_inputs: RefCell::default(),
             stepping: Cell::new(false),
             links: RefCell::default(),
-            roster: RefCell::default(),
-            digests: RefCell::default(),
-            waiting: RefCell::default(),
+            list_source: RefCell::default(),
+            digest_source: RefCell::default(),
+            waiters: RefCell::default(),
             metrics: Arc::new(Metrics::default()),
-            classes: RefCell::default(),
-            handed: RefCell::default(),
-            tickets: Cell::new(0),
-            counted: Cell::new(Instant::now()),
-            retimed: Notify::new(),
+            metrics_by_class: RefCell::default(),
+            admin_result: RefCell::default(),
+            last_ticket: Cell::new(0),
+            runners_counted_at: Cell::new(Instant::now()),
+            timer_changed: Notify::new(),
             stopping: Cell::new(false),
-            longest: Cell::default(),
+            longest_deadline: Cell::default(),
             observer: OnceCell::new(),
         })
     }
@@ -86,13 +86,13 @@
     }
 
     pub fn set_list_source(&self, roster: Rc<dyn RunnerListSource>) {
-        *self.roster.borrow_mut() = Some(roster);
+        *self.list_source.borrow_mut() = Some(roster);
     }
 
     /// Follows a digest with a frame each `every`, which is believed for so long after each.
     pub fn set_digest_source(&self, digests: Rc<dyn DigestSource>, every: sr::Span, silent: sr::Span) {
         self.core.borrow_mut().follow_digest(every, silent);
-        *self.digests.borrow_mut() = Some(digests);
+        *self.digest_source.borrow_mut() = Some(digests);
     }
 
     ///
@@ -100,10 +100,10 @@
     ///
     /// Why it was turned down: the runner was never listed.
     pub fn set_disabled(&self, runner: String, out: bool, shared: bool) -> Result<(), &'static str> {
-        self.tickets.set(self.tickets.get() + 1);
-        let call = self.tickets.get();
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        let call = self.last_ticket.get();
         self.feed(Input::SetDisabled { call, runner, disabled: out, from_peer: shared });
-        match self.handed.borrow_mut().take() {
+        match self.admin_result.borrow_mut().take() {
             Some((said, result)) if said == call => result,
             _ => Err("the call was not carried out: call again"),
         }
@@ -111,39 +111,39 @@
 
     /// Hands the core an input. What happens while its effects are carried out waits its turn.
     pub fn feed(&self, input: Input<Rc<Job>>) {
-        self.inputs.borrow_mut().push_back(input);
+        self.pending_inputs.borrow_mut().push_back(input);
         if self.stepping.replace(true) {
             return;
         }
         let before = self.core.borrow().next_timer();
         let mut tells_of_runners = false;
         loop {
-            let next = self.inputs.borrow_mut().pop_front();
+            let next = self.pending_inputs.borrow_mut().pop_front();
             let Some(input) = next else { break };
             tells_of_runners |= matches!(input, Input::List(..) | Input::SetDisabled { .. });
-            tell_of(&input);
+            log_input(&input);
             let effects = self.step(input);
             for effect in effects {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
         }
         self.stepping.set(false);
         Metrics::set(&self.metrics.current, self.core.borrow().open());
-        if tells_of_runners || self.counted.get().elapsed() > self.limits.runner_count_interval {
+        if tells_of_runners || self.runners_counted_at.get().elapsed() > self.limits.runner_count_interval {
             self.update_runner_metrics();
         }
         if self.core.borrow().next_timer() != before {
-            self.retimed.notify_one();
+            self.timer_changed.notify_one();
         }
     }
 
-    fn carry_out(&self, effect: Effect<Rc<Job>>) {
+    fn apply_effect(&self, effect: Effect<Rc<Job>>) {
         match effect {
             Effect::Answer(ticket, answer) => {
                 if let Answer::Refused(_) | Answer::Failed(_) = answer {
                     log::debug!("ticket {}: {answer:?}", ticket.0);
                 }
-                let waiting = self.waiting.borrow_mut().remove(&ticket);
+                let waiting = self.waiters.borrow_mut().remove(&ticket);
                 if let Some((waiting, figures)) = waiting {
                     figures.count(match answer {
                         Answer::Served(_) => AnswerKind::Answered,
@@ -172,7 +172,7 @@
             }
             Effect::Forget(attempt) => self.links.borrow().iter().for_each(|link| link.forget(attempt)),
             Effect::Subscribe(at) | Effect::Fetch(at) => {
-                let roster = self.roster.borrow().clone();
+                let roster = self.list_source.borrow().clone();
                 log::debug!("call for the list at {at}");
                 match (roster, effect) {
                     (Some(roster), Effect::Subscribe(_)) => roster.subscribe(at),
@@ -188,10 +188,10 @@
                 }
             }
             Effect::FetchDigest => {
-                let digests = self.digests.borrow().clone();
+                let digests = self.digest_source.borrow().clone();
                 digests.into_iter().for_each(|digests| digests.fetch_full());
             }
-            Effect::AdminResult { call, result } => *self.handed.borrow_mut() = Some((call, result)),
+            Effect::AdminResult { call, result } => *self.admin_result.borrow_mut() = Some((call, result)),
             Effect::CloseIdle(runner) => {
                 if let Some(link) = self.link_to(&runner) {
                     link.close_idle(&runner);
@@ -209,12 +209,12 @@
         loop {
             let due = self.core.borrow().next_timer();
             match due {
-                None => self.retimed.notified().await,
+                None => self.timer_changed.notified().await,
                 Some(at) => {
                     let sleep = tokio::time::sleep_until(self.clock.instant(at).into());
                     tokio::select! {
                         () = sleep => self.feed(Input::TimerDue),
-                        () = self.retimed.notified() => {}
+                        () = self.timer_changed.notified() => {}
                     }
                 }
             }
@@ -239,12 +239,12 @@
     /// Settings that are in force from now on: how long the program may take to end goes by them.
     pub fn update_longest_deadline(&self, settings: &sr::Settings) {
         let longest = settings.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
-        self.longest.set(Duration::from_nanos(longest));
+        self.longest_deadline.set(Duration::from_nanos(longest));
     }
 
     /// For how long clients find everything as usual after SIGTERM, and when whatever is unanswered is
     /// answered and the program ends, by the settings in force now.
     pub fn shutdown_times(&self) -> (Duration, Duration) {
-        self.limits.shutdown_times(self.longest.get())
+        self.limits.shutdown_times(self.longest_deadline.get())
     }
 }
--- a/node/src/runtime/telling.rs
+++ b/node/src/runtime/reporting.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 /// A line for the log on what is about to be handed to the core.
-pub(super) fn tell_of(input: &Input<Rc<Job>>) {
+pub(super) fn log_input(input: &Input<Rc<Job>>) {
     match input {
         Input::Arrived(arrival) => {
             let Arrival { id, job, ticket, .. } = arrival;
@@ -57,7 +57,7 @@
     /// Whether clients are asked to come here: not while there is no list yet, since all would be refused, but
     /// for no longer than a while, since others may have none either.
     pub fn accepts_clients(&self) -> bool {
-        let told = self.roster.borrow().as_ref().is_some_and(|roster| roster.has_list());
+        let told = self.list_source.borrow().as_ref().is_some_and(|roster| roster.has_list());
         told || self.clock.age() >= self.limits.admit_without_list_after
     }
 
@@ -92,7 +92,7 @@
         let (listed, avoided) = self.core.borrow().runner_counts();
         Metrics::set(&self.metrics.cluster_size, listed);
         Metrics::set(&self.metrics.cluster_unhealthy, avoided);
-        self.counted.set(Instant::now());
+        self.runners_counted_at.set(Instant::now());
     }
 
     /// The runners taken out by hand, by name.
--- a/node/src/runtime/waiting.rs
+++ b/node/src/runtime/tickets.rs
@@ -27,21 +27,21 @@
 }
 
 /// Who waits for a ticket's answer, and the counters of its class.
-pub(super) type Waiting = (oneshot::Sender<Answer>, Arc<ClassMetrics>);
+pub(super) type Waiter = (oneshot::Sender<Answer>, Arc<ClassMetrics>);
 
 impl Runtime {
     /// A ticket for a new request of a class, and where its answer will arrive.
     pub fn ticket(&self, class: u32) -> (Ticket, oneshot::Receiver<Answer>) {
-        self.tickets.set(self.tickets.get() + 1);
-        let ticket = Ticket(self.tickets.get());
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        let ticket = Ticket(self.last_ticket.get());
         let (send, receive) = oneshot::channel();
-        let figures = self.class_figures(class);
-        self.waiting.borrow_mut().insert(ticket, (send, figures));
+        let figures = self.class_metrics(class);
+        self.waiters.borrow_mut().insert(ticket, (send, figures));
         (ticket, receive)
     }
 
-    fn class_figures(&self, class: u32) -> Arc<ClassMetrics> {
-        let mut classes = self.classes.borrow_mut();
+    fn class_metrics(&self, class: u32) -> Arc<ClassMetrics> {
+        let mut classes = self.metrics_by_class.borrow_mut();
         while classes.len() <= class as usize {
             let name = self.with_tables(|tables| tables.classes.name(classes.len() as u32).to_owned());
             classes.push(self.metrics.class(&name));
@@ -53,13 +53,13 @@
     pub fn register_classes(&self) {
         let all = self.with_tables(|tables| tables.classes.all().len());
         if let Some(last) = all.checked_sub(1) {
-            self.class_figures(last as u32);
+            self.class_metrics(last as u32);
         }
     }
 
     /// The client of a ticket has left; nothing happens if it was answered.
     pub fn client_gone(&self, ticket: Ticket) {
-        if self.waiting.borrow_mut().remove(&ticket).is_some() {
+        if self.waiters.borrow_mut().remove(&ticket).is_some() {
             log::debug!("a client has left, ticket {}", ticket.0);
             self.feed(Input::ClientGone(ticket));
         }
--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -16,21 +16,21 @@
 use std::time::Duration;
 
 /// A snapshot's file, locked by this process.
-pub struct Place {
+pub struct LockedSnapshot {
     file: PathBuf,
     every: Duration,
     /// Held as long as the process may write.
     _lock: File,
 }
 
-impl Place {
+impl LockedSnapshot {
     /// Takes the file for this process.
     ///
     /// # Errors
     ///
     /// Says why it can't be used, and what to do.
-    pub fn take(at: &SnapshotFile) -> Result<Place, String> {
-        let lock = beside(&at.file, "lock");
+    pub fn lock(at: &SnapshotFile) -> Result<LockedSnapshot, String> {
+        let lock = sibling(&at.file, "lock");
         let open = OpenOptions::new().create(true).truncate(false).write(true).open(&lock);
         let held = open.map_err(|e| {
             format!("keys.snapshot.file: {}: {e}; the folder must exist and be writable", lock.display())
@@ -41,7 +41,7 @@
                 lock.display()
             )
         })?;
-        Ok(Place { file: at.file.clone(), every: Duration::from_secs_f64(at.every_s), _lock: held })
+        Ok(LockedSnapshot { file: at.file.clone(), every: Duration::from_secs_f64(at.every_s), _lock: held })
     }
 
     /// What a predecessor left; `None` if there is nothing, or nothing that can be used.
@@ -57,7 +57,7 @@
         match Snapshot::decode(&bytes) {
             Ok(snapshot) => Some(snapshot),
             Err(e) => {
-                let aside = beside(&self.file, "refused");
+                let aside = sibling(&self.file, "refused");
                 let moved = std::fs::rename(&self.file, &aside).map_err(|e| e.to_string());
                 let (file, moved) = (self.file.display(), moved.err().unwrap_or_default());
                 log::error!("keys: {file}: {e}: starts without; set aside as {} {moved}", aside.display());
@@ -72,19 +72,19 @@
     ///
     /// Says what the disk said.
     pub fn write(&self, snapshot: &Snapshot) -> Result<usize, String> {
-        write_whole(&self.file, &snapshot.encode()).map_err(|e| format!("{}: {e}", self.file.display()))
+        write_atomically(&self.file, &snapshot.encode()).map_err(|e| format!("{}: {e}", self.file.display()))
     }
 }
 
-fn beside(file: &Path, ending: &str) -> PathBuf {
+fn sibling(file: &Path, ending: &str) -> PathBuf {
     let mut name = file.file_name().unwrap_or_default().to_owned();
     name.push(".");
     name.push(ending);
     file.with_file_name(name)
 }
 
-fn write_whole(file: &Path, bytes: &[u8]) -> io::Result<usize> {
-    let draft = beside(file, "tmp");
+fn write_atomically(file: &Path, bytes: &[u8]) -> io::Result<usize> {
+    let draft = sibling(file, "tmp");
     let mut out = File::create(&draft)?;
     out.write_all(bytes)?;
     // Before the rename: else a power cut may leave the new name on bytes that never arrived.
@@ -96,7 +96,7 @@
 }
 
 /// What the dispatcher holds now. `last`: it has answered everything and sends nothing any more.
-pub fn of(runtime: &Runtime, last: bool) -> Option<Snapshot> {
+pub fn capture(runtime: &Runtime, last: bool) -> Option<Snapshot> {
     let made = runtime.clock.now();
     let (records, doubt) = runtime.with_keys(|core, store| {
         (store.records(made, |run| core.sent(run)), store.rejects_unknown_retries(made))
@@ -119,20 +119,20 @@
 }
 
 impl Writer {
-    pub fn start(place: Place) -> Writer {
+    pub fn start(place: LockedSnapshot) -> Writer {
         // One is written while the next is made; a disk slower than that makes rounds be left out.
         let (queue, snapshots) = sync_channel(1);
         let every = place.every;
-        let thread = std::thread::spawn(move || write_all(&place, &snapshots));
+        let thread = std::thread::spawn(move || write_queued(&place, &snapshots));
         Writer { queue, thread, every }
     }
 
     /// Makes a snapshot every so often; never ends.
-    pub async fn keep_up(&self, runtime: &Rc<Runtime>) {
+    pub async fn write_periodically(&self, runtime: &Rc<Runtime>) {
         let mut left_out = 0u64;
         loop {
             tokio::time::sleep(self.every).await;
-            let Some(snapshot) = of(runtime, false) else { continue };
+            let Some(snapshot) = capture(runtime, false) else { continue };
             match self.queue.try_send(snapshot) {
                 Ok(()) => left_out = 0,
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
@@ -146,7 +146,7 @@
     }
 
     /// Writes the last one and waits for it.
-    pub fn end(self, snapshot: Option<Snapshot>) {
+    pub fn finish(self, snapshot: Option<Snapshot>) {
         if let Some(snapshot) = snapshot {
             let _ = self.queue.send(snapshot);
         }
@@ -155,7 +155,7 @@
     }
 }
 
-fn write_all(place: &Place, snapshots: &Receiver<Snapshot>) {
+fn write_queued(place: &LockedSnapshot, snapshots: &Receiver<Snapshot>) {
     let mut failing = false;
     for snapshot in snapshots {
         match place.write(&snapshot) {
@@ -175,14 +175,14 @@
 }
 
 /// The keys that a predecessor left, and for how long it may be in doubt what it did.
-pub fn remember(
+pub fn restore(
     mut store: keys::Store,
     doubts: &[sr::Span],
     tables: &sablerun_settings::Tables,
-    place: Option<&Place>,
+    place: Option<&LockedSnapshot>,
     now: sr::Time,
 ) -> keys::Store {
-    let snapshot = place.and_then(Place::read);
+    let snapshot = place.and_then(LockedSnapshot::read);
     let whole = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
     if !whole {
         for (class, doubt) in doubts.iter().enumerate() {
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -114,7 +114,7 @@
             }
         }
         let tables = Tables { workers: NameTable::default(), zones, kinds, classes, tenants, fields };
-        settings.validate().map_err(|e| match key(e.0) {
+        settings.validate().map_err(|e| match settings_key(e.0) {
             Some(key) => format!("{e}, by the key {key}"),
             None => e.to_string(),
         })?;
@@ -124,7 +124,7 @@
 
 /// The key that stands for a setting of the module, where it goes by another name: who must mend the file
 /// looks for that.
-fn key(setting: &str) -> Option<&'static str> {
+fn settings_key(setting: &str) -> Option<&'static str> {
     Some(match setting {
         "dispatchers" => "balancers",
         "number" => "me",
--- a/settings/src/reconcile.rs
+++ b/settings/src/reconcile.rs
@@ -32,12 +32,12 @@
         let known = (0..all.len()).find(|&n| tables.classes.name(n as u32) == name && all[n] == class);
         classes.push(match known {
             Some(number) => {
-                tables.classes.point(name, number as u32);
+                tables.classes.alias(name, number as u32);
                 number as u32
             }
             None => {
                 all.push(class);
-                tables.classes.anew(name)
+                tables.classes.reassign(name)
             }
         });
     }
@@ -57,13 +57,13 @@
 
 impl NameTable {
     /// A new number for a name, which stands for that number from now on.
-    fn anew(&mut self, name: &str) -> u32 {
+    fn reassign(&mut self, name: &str) -> u32 {
         self.numbers.remove(name);
         self.intern(name)
     }
 
     /// Lets a name stand for a number that it had before.
-    fn point(&mut self, name: &str, number: u32) {
+    fn alias(&mut self, name: &str, number: u32) {
         self.numbers.insert(name.to_owned(), number);
     }
 }
