--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -1,8 +1,8 @@
-//! The reducer: every change of the dispatcher's state is one [`Core::step`], `(now, input)` in,
-//! [`Effect`]s out. It owns the requests taken and not yet closed, their attempts, the timers and
-//! the decision module, and sees to it that each request gets one final answer, by its deadline,
-//! and that a runner holds one attempt of a request at a time. It must never touch a socket, read a
-//! clock, know a wire or make a choice that is the module's: fronts and links do the talking.
+//! The reducer: every change of the dispatcher's state is one [`Core::step`], with `(now, input)` in and
+//! [`Effect`]s out. It guarantees that each request gets exactly one final answer, by its deadline, and
+//! that a runner holds at most one attempt of a request at a time.
+//!
+//! Contains no I/O, reads no clock and knows no wire format; scheduling decisions are the balancer's.
 
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -31,70 +31,73 @@
     runner: u32,
     live: bool,
     sent: sr::Time,
-    /// Nothing proves that it never ran.
+    /// False only if the attempt provably never ran.
     may_have_run: bool,
-    /// What may yet be heard of it, though it is over.
+    /// What its runner may still report after the attempt has ended.
     late_report: LateReport,
 }
 
-/// What a runner may yet say of an attempt that is over: words name the request, not the attempt.
+/// What a runner may still report about an attempt that has ended. A report names the request, not the
+/// attempt, so a late one could be mistaken for one about a newer attempt at the same runner.
 #[derive(PartialEq)]
 enum LateReport {
-    /// It ended by an answer, or never began: nothing more is said.
+    /// Nothing: the attempt was answered, or never began.
     None,
-    /// This word, again: its runner repeats a word until it hears that it was heard.
+    /// The same outcome again: a runner repeats its report until it is acknowledged.
     Repeat(sr::Outcome),
-    /// Whatever it has to say: it was given up, or its connection broke.
+    /// Any outcome: the attempt was cancelled, or its connection broke.
     Any,
 }
 
-/// A key that is under way with a request.
+/// The idempotency key of a request that is not answered yet.
 struct PendingKey {
     member: keys::Member,
     text: Rc<str>,
 }
 
 struct Request<J> {
-    /// Who waits for its answer, and for how long: its client, and those of repeats that joined.
+    /// The tickets that wait for the answer, each with its deadline: the first client's, and those of
+    /// repeats that joined.
     waiters: Vec<(Ticket, sr::Time)>,
     id: Rc<str>,
     class: u32,
-    /// The last one's.
+    /// The latest deadline of the waiting tickets.
     deadline: sr::Time,
     job: J,
     key: Option<PendingKey>,
-    /// When an earlier try of it, which may have run, was sent.
+    /// When an earlier try of the request, which may have run, was sent.
     prior_sent: Option<sr::Time>,
     answered: bool,
     attempts: Vec<Attempt>,
 }
 
-/// Counts for the log.
+/// Counters for the log's summary line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub taken: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
+    /// Clients that disconnected before their answer.
     pub left: u64,
     pub attempts: u64,
-    /// Answered with a word that the client can't mean this.
+    /// Requests rejected as invalid ([`Answer::Unfit`]).
     pub unfit: u64,
 }
 
 /// The dispatcher's state.
 pub struct Core<J> {
     balancer: sr::Balancer,
-    /// The settings in force: every class and tenant ever numbered, in place.
+    /// The settings in force, with every class and tenant ever numbered at its index.
     settings: sr::Settings,
     tables: Tables,
-    /// Classes that the settings no longer name, and until when they are taken still.
+    /// Classes that the settings no longer name, each with the time until which it is still accepted.
     removed_classes: HashMap<u32, sr::Time>,
     /// Whether a request must name its tenant.
     requires_tenant: bool,
-    /// Where the list is asked for.
+    /// The address that serves the runner list.
     discovery: SocketAddr,
-    /// Most requests held at once; more are refused unseen.
+    /// Most requests open at once; further ones are refused before the balancer sees them.
     max_open: usize,
     next_request: u32,
     requests: HashMap<u32, Request<J>>,
@@ -102,21 +105,21 @@
     requests_by_ticket: HashMap<Ticket, u32>,
     timers: BinaryHeap<Reverse<(sr::Time, u64, Timer)>>,
     timer_sequence: u64,
-    /// When the program ends, once it is told so.
+    /// When the program ends, once shutdown has begun.
     stop_at: Option<sr::Time>,
-    /// The clients' keys, where they are kept.
+    /// The store of idempotency keys, if keys are enabled.
     keys: Option<keys::Store>,
-    /// The load digest, where one is followed.
+    /// The load digest, if one is followed.
     digest: Option<digest::Digest>,
-    /// Where runners stand, by number.
+    /// The zone and cell of each runner, by number.
     locations: HashMap<u32, keys::Place>,
-    /// What each source last said of its runners.
+    /// The last list entry of each runner from each source.
     list_entries: BTreeMap<(Source, u32), sr::ListEntry>,
-    /// Runners taken out by hand: the module hears of them as draining, whatever the lists say.
+    /// Manually disabled runners: the balancer sees them as draining, whatever the lists say.
     disabled: BTreeSet<u32>,
-    /// Runners listed, and whether each is out by hand or because it drains.
+    /// The listed runners, and whether each is disabled or draining.
     avoided: BTreeMap<u32, bool>,
-    /// Events for the module that its own actions brought about.
+    /// Events for the balancer that its own actions caused.
     pending_events: VecDeque<sr::Event>,
     actions: Vec<sr::Action>,
     effects: Vec<Effect<J>>,
@@ -124,18 +127,19 @@
 }
 
 impl<J: Clone> Core<J> {
-    /// A dispatcher that starts now, asks `roster` for its runners and holds `most` requests at once.
+    /// Creates a dispatcher that starts now, gets its runner list from `discovery` and holds at most
+    /// `max_open` requests at once.
     ///
     /// # Errors
     ///
-    /// Names the setting that makes no sense.
+    /// Names the invalid setting.
     pub fn new(
         settings: sr::Settings,
         tables: Tables,
-        roster: SocketAddr,
+        discovery: SocketAddr,
         seed: u64,
         now: sr::Time,
-        most: usize,
+        max_open: usize,
     ) -> Result<Core<J>, sr::SettingsError> {
         Ok(Core {
             keys: None,
@@ -146,8 +150,8 @@
             removed_classes: HashMap::new(),
             settings,
             tables,
-            discovery: roster,
-            max_open: most,
+            discovery,
+            max_open,
             next_request: 0,
             requests: HashMap::new(),
             requests_by_id: HashMap::new(),
@@ -165,32 +169,33 @@
         })
     }
 
-    /// The name tables, for fronts that check what clients name.
+    /// The name tables, for fronts that check the names that clients send.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// Whether a request of this id is here, answered or not.
+    /// Whether a request with this id is present, answered or not.
     pub fn knows(&self, id: &str) -> bool {
         self.requests_by_id.contains_key(id)
     }
 
-    /// Requests that have no final answer yet.
+    /// The number of tickets without a final answer.
     pub fn open(&self) -> usize {
         self.requests_by_ticket.len()
     }
 
-    /// Requests kept, answered or not, and the ids that runners know them by: none once nothing is under way.
+    /// The number of requests in memory, answered or not, and of their ids. Both are 0 when nothing is in
+    /// progress.
     pub fn retained(&self) -> (usize, usize) {
         (self.requests.len(), self.requests_by_id.len())
     }
 
-    /// What has been counted so far.
+    /// The counters since the start.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// Takes one input and says what is to be done, in this order.
+    /// Applies one input and returns the effects to execute, in order.
     pub fn step(&mut self, now: sr::Time, input: Input<J>) -> Vec<Effect<J>> {
         match input {
             Input::Arrived(arrival) => self.handle_arrival(now, arrival),
@@ -199,19 +204,15 @@
             Input::Progress { id, from, share } => {
                 self.handle_note(now, &id, &from, sr::Note::Progress(share))
             }
-            Input::Finished { id, from, end: ending } => {
+            Input::Finished { id, from, end } => {
                 if let Some(attempt) = self.live_attempt(&id, &from) {
-                    self.handle_finished(now, attempt, ending);
+                    self.handle_finished(now, attempt, end);
                 }
             }
-            Input::AttemptEnded(attempt, ending) => {
-                let answered = ending.outcome.never_ran() || ending.outcome == sr::Outcome::Error;
-                self.end_attempt(
-                    now,
-                    attempt,
-                    ending,
-                    if answered { LateReport::None } else { LateReport::Any },
-                );
+            Input::AttemptEnded(attempt, end) => {
+                let answered = end.outcome.never_ran() || end.outcome == sr::Outcome::Error;
+                let late_report = if answered { LateReport::None } else { LateReport::Any };
+                self.end_attempt(now, attempt, end, late_report);
             }
             Input::Unusable(attempt) => self.handle_unusable(now, attempt),
             Input::Probed { runner, ok, report } => {
@@ -223,9 +224,9 @@
             Input::List(source, kind, listed) => self.handle_list(now, source, kind, listed),
             Input::ListFailed => self.notify(now, sr::Event::ListFailed),
             Input::ListSilent => self.notify(now, sr::Event::ListSilent),
-            Input::Reconfigure(retune) => self.reconfigure(now, *retune),
+            Input::Reconfigure(reconfiguration) => self.reconfigure(now, *reconfiguration),
             Input::DiscoveryMoved(at) => {
-                // At once, and not when the module next asks: it waits for the old watch to fall silent.
+                // Subscribes at once: the balancer would only ask again after the old watch has gone silent.
                 if self.discovery != at {
                     self.discovery = at;
                     self.effects.push(Effect::Subscribe(at));
@@ -236,8 +237,8 @@
                 self.stop_at = Some(at);
                 self.set_timer(at, Timer::Stop);
             }
-            Input::SetDisabled { call, runner, disabled: out, from_peer: shared } => {
-                let result = self.set_disabled(now, &runner, out, shared);
+            Input::SetDisabled { call, runner, disabled, from_peer } => {
+                let result = self.set_disabled(now, &runner, disabled, from_peer);
                 self.effects.push(Effect::AdminResult { call, result });
             }
             Input::TimerDue => {}
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -1,13 +1,12 @@
-//! Attempts, from their start at a runner to their end. It owns which attempt a runner's word is about, and
-//! that a runner holds one attempt of a request at a time. It must never pick the runner, nor believe a word
-//! about an attempt that is over.
+//! Attempts, from their start at a runner to their end. Matches runners' reports to attempts, and ensures
+//! that a runner holds at most one attempt of a request at a time. Never picks the runner.
 
 use super::{Answer, Attempt, AttemptEnd, AttemptId, Core, Effect, LateReport};
 use sablerun as sr;
 
 impl<J: Clone> Core<J> {
-    /// The live attempt that a runner's word is about. Guards against words that are late, repeated or
-    /// about an attempt given up: id and name must both match one that is still out.
+    /// Returns the live attempt that a runner's report is about. Request id and runner name must both match
+    /// an attempt that has not ended, so that late, repeated and cancelled attempts' reports are ignored.
     pub(super) fn live_attempt(&self, id: &str, from: &str) -> Option<AttemptId> {
         let (&request, runner) = (self.requests_by_id.get(id)?, self.tables.workers.get(from)?);
         let attempts = &self.requests.get(&request)?.attempts;
@@ -15,35 +14,37 @@
         Some(AttemptId { request, number: number as u32 })
     }
 
+    /// Passes a start or progress report about a live attempt to the balancer.
     pub(super) fn handle_note(&mut self, now: sr::Time, id: &str, from: &str, note: sr::Note) {
         if let Some(AttemptId { request, number }) = self.live_attempt(id, from) {
             self.notify(now, sr::Event::Noted(sr::RequestId(request), number, note));
         }
     }
 
-    /// A runner's word of how a job ended. Where an earlier attempt there may have brought it about, it proves
-    /// nothing of this one, which may run: that is given up. What the runner made serves in any case.
-    pub(super) fn handle_finished(&mut self, now: sr::Time, attempt: AttemptId, ending: AttemptEnd) {
+    /// Handles a runner's report of how a job ended. If an earlier attempt at the same runner may have caused
+    /// a failure report, the live attempt may still be running, so it is cancelled as timed out. A result is
+    /// used in either case.
+    pub(super) fn handle_finished(&mut self, now: sr::Time, attempt: AttemptId, end: AttemptEnd) {
         let AttemptId { request, number } = attempt;
         let Some(attempts) = self.requests.get(&request).map(|r| &r.attempts) else { return };
         let (earlier, this) = attempts.split_at(number as usize);
-        let echoes = |a: &Attempt| match a.late_report {
+        let may_report = |a: &Attempt| match a.late_report {
             LateReport::None => false,
-            LateReport::Repeat(word) => word == ending.outcome,
+            LateReport::Repeat(outcome) => outcome == end.outcome,
             LateReport::Any => true,
         };
-        let doubtful = earlier.iter().any(|a| a.runner == this[0].runner && echoes(a));
-        if doubtful && ending.outcome != sr::Outcome::Ok {
+        let ambiguous = earlier.iter().any(|a| a.runner == this[0].runner && may_report(a));
+        if ambiguous && end.outcome != sr::Outcome::Ok {
             self.cancel_attempt(request, number, sr::Outcome::Timeout);
             self.process_events(now);
             self.remove_if_finished(request);
         } else {
-            let echo = LateReport::Repeat(ending.outcome);
-            self.end_attempt(now, attempt, ending, echo);
+            let late_report = LateReport::Repeat(end.outcome);
+            self.end_attempt(now, attempt, end, late_report);
         }
     }
 
-    /// Gives a live attempt up; the module is to be told of the outcome.
+    /// Cancels a live attempt and queues the outcome for the balancer.
     pub(super) fn cancel_attempt(&mut self, request: u32, number: u32, outcome: sr::Outcome) {
         let attempt = self.requests.get_mut(&request).and_then(|r| r.attempts.get_mut(number as usize));
         if let Some(attempt) = attempt.filter(|a| a.live) {
@@ -53,36 +54,40 @@
         }
     }
 
-    /// Whether an attempt may begin now, which can be a while after it was decided on: it is not over, somebody
-    /// waits in time, and a repeat gets there while the first is known there.
+    /// Whether an attempt may begin now, which can be some time after it was decided: it has not ended, the
+    /// deadline has not passed, and a repeat of a keyed request arrives within the class's window, with two
+    /// ticks to spare, while the runner still knows the first one.
     pub fn may_begin(&self, now: sr::Time, attempt: AttemptId) -> bool {
         let Some(request) = self.requests.get(&attempt.request).filter(|r| !r.answered) else { return false };
         let (earlier, this) = request.attempts.split_at(attempt.number as usize);
         let class = &self.settings.classes[request.class as usize];
-        let ran = earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent).chain(request.prior_sent).min();
-        let known = match class.effect {
+        let first_sent =
+            earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent).chain(request.prior_sent).min();
+        let in_window = match class.effect {
             sr::Effect::Keyed(_) => {
-                ran.is_none_or(|first| now < first + class.window - sr::Span(self.settings.tick.0 * 2))
+                first_sent.is_none_or(|first| now < first + class.window - sr::Span(self.settings.tick.0 * 2))
             }
             sr::Effect::Safe | sr::Effect::Unsafe => true,
         };
-        this.first().is_some_and(|a| a.live) && now < request.deadline && known
+        this.first().is_some_and(|a| a.live) && now < request.deadline && in_window
     }
 
+    /// Records the end of a live attempt, answers the request if the attempt succeeded, and notifies the
+    /// balancer. `late_report` is what the runner may still report about the attempt.
     pub(super) fn end_attempt(
         &mut self,
         now: sr::Time,
         attempt: AttemptId,
-        ending: AttemptEnd,
-        echo: LateReport,
+        end: AttemptEnd,
+        late_report: LateReport,
     ) {
         let request = self.requests.get_mut(&attempt.request);
-        let out = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
-        let Some(out) = out.filter(|a| a.live) else { return };
-        (out.live, out.may_have_run, out.late_report) = (false, !ending.outcome.never_ran(), echo);
+        let state = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
+        let Some(state) = state.filter(|a| a.live) else { return };
+        (state.live, state.may_have_run, state.late_report) = (false, !end.outcome.never_ran(), late_report);
         self.effects.push(Effect::Forget(attempt));
-        if ending.outcome == sr::Outcome::Ok {
-            self.answer_request(now, attempt.request, Answer::Served(ending.result));
+        if end.outcome == sr::Outcome::Ok {
+            self.answer_request(now, attempt.request, Answer::Served(end.result));
         }
         let closed = self.requests[&attempt.request].answered;
         self.notify(
@@ -90,21 +95,21 @@
             sr::Event::Ended {
                 request: sr::RequestId(attempt.request),
                 attempt: attempt.number,
-                outcome: ending.outcome,
+                outcome: end.outcome,
                 closed,
-                report: ending.report,
+                report: end.report,
             },
         );
         self.remove_if_finished(attempt.request);
     }
 
-    /// The request itself is at fault: no other runner could use it either, and none is to blame. Guards
-    /// against bad clients that spoil what the module thinks of a runner.
+    /// Fails a request that its runner rejected as invalid: no other runner could use it either. The balancer
+    /// sees the attempt as never sent, so that a bad client does not affect a runner's error rate.
     pub(super) fn handle_unusable(&mut self, now: sr::Time, attempt: AttemptId) {
         let request = self.requests.get_mut(&attempt.request);
-        let out = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
-        let Some(out) = out.filter(|a| a.live) else { return };
-        out.live = false;
+        let state = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
+        let Some(state) = state.filter(|a| a.live) else { return };
+        state.live = false;
         self.effects.push(Effect::Forget(attempt));
         self.answer_request(now, attempt.request, Answer::Failed("the runner can't use the request"));
         self.queue_attempt_end(attempt.request, attempt.number, sr::Outcome::Moot);
@@ -112,33 +117,34 @@
         self.remove_if_finished(attempt.request);
     }
 
+    /// Starts an attempt at a runner, or reports it to the balancer as never sent if the request is gone or
+    /// answered, or has a live attempt at this runner.
     pub(super) fn start_attempt(&mut self, now: sr::Time, request: u32, runner: u32) {
-        let Some(held) = self.requests.get_mut(&request) else {
+        let Some(entry) = self.requests.get_mut(&request) else {
             self.queue_attempt_end(request, 0, sr::Outcome::Moot);
             return;
         };
-        let number = held.attempts.len() as u32;
-        // A runner gets one attempt of a request at a time.
-        let there = held.attempts.iter().any(|a| a.live && a.runner == runner);
-        let moot = there || held.answered;
-        held.attempts.push(Attempt {
+        let number = entry.attempts.len() as u32;
+        let duplicate = entry.attempts.iter().any(|a| a.live && a.runner == runner);
+        let skipped = duplicate || entry.answered;
+        entry.attempts.push(Attempt {
             runner,
-            live: !moot,
+            live: !skipped,
             sent: now,
-            may_have_run: !moot,
+            may_have_run: !skipped,
             late_report: LateReport::None,
         });
-        if moot {
+        if skipped {
             self.queue_attempt_end(request, number, sr::Outcome::Moot);
             return;
         }
         self.tally.attempts += 1;
         self.effects.push(Effect::Start {
             attempt: AttemptId { request, number },
-            id: held.id.clone(),
+            id: entry.id.clone(),
             runner: self.tables.workers.name(runner).to_owned(),
-            job: held.job.clone(),
-            deadline: held.deadline,
+            job: entry.job.clone(),
+            deadline: entry.deadline,
         });
     }
 }
--- a/node/src/core/balancer.rs
+++ b/node/src/core/balancer.rs
@@ -1,17 +1,18 @@
-//! The talk with the decision module: it is told what happened, what it asks for is done at once, and it is
-//! told what came of that. This owns the order of both. It must never make a choice that is the module's.
+//! The interface to the balancer: passes events to it, applies the actions that it returns at once, and
+//! passes on the events that these cause. Makes no scheduling decisions itself.
 
 use super::timers::Timer;
 use super::{Answer, Core, Effect};
 use sablerun as sr;
 
 impl<J: Clone> Core<J> {
-    /// Tells the module, carries out what it asks for, and tells it what came of that.
+    /// Passes an event to the balancer, applies its actions, and repeats with the events that these cause.
     pub(super) fn notify(&mut self, now: sr::Time, event: sr::Event) {
         self.pending_events.push_back(event);
         self.process_events(now);
     }
 
+    /// Passes the pending events to the balancer until there are none.
     pub(super) fn process_events(&mut self, now: sr::Time) {
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -51,6 +52,7 @@
         }
     }
 
+    /// Queues the end of an attempt as an event for the balancer.
     pub(super) fn queue_attempt_end(&mut self, request: u32, attempt: u32, outcome: sr::Outcome) {
         let closed = self.requests.get(&request).is_none_or(|r| r.answered);
         let request = sr::RequestId(request);
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -1,39 +1,36 @@
-//! What a load digest says of runners, where the operator has one: it stands in for probes while it is fresh. It owns
-//! how long a digest is believed. It must never ask for anything that the platform does not give: without a digest
-//! nothing here happens, and each probe goes out as the module asks.
+//! The load digest, if the operator has configured one: its loads replace probes while it is fresh. Without
+//! a digest, every probe that the balancer asks for is sent.
 
 use super::{Core, Effect};
 use sablerun as sr;
 use sablerun_digest::{ApplyOutcome, Follower, Frame, Load};
 
-/// A digest that is followed.
+/// The state of the digest that is followed.
 pub(super) struct Digest {
     follower: Follower,
-    /// Time between two frames, and the time without one after which it is not believed.
+    /// Time between two frames.
     interval: sr::Span,
+    /// Time without a frame after which the digest is stale.
     max_silence: sr::Span,
     last_frame_at: Option<sr::Time>,
 }
 
 impl Digest {
+    /// Whether a frame came within the last `max_silence`.
     fn is_fresh(&self, now: sr::Time) -> bool {
         self.last_frame_at.is_some_and(|heard| now - heard <= self.max_silence)
     }
 }
 
 impl<J: Clone> Core<J> {
-    /// Follows a digest from now on, with a frame each `every`; it holds for so long after each frame.
-    pub fn follow_digest(&mut self, every: sr::Span, silent: sr::Span) {
-        self.digest = Some(Digest {
-            follower: Follower::default(),
-            interval: every,
-            max_silence: silent,
-            last_frame_at: None,
-        });
+    /// Follows a digest from now on, with a frame every `interval`; it is fresh for `max_silence` after each.
+    pub fn follow_digest(&mut self, interval: sr::Span, max_silence: sr::Span) {
+        self.digest =
+            Some(Digest { follower: Follower::default(), interval, max_silence, last_frame_at: None });
     }
 
-    /// How old a runner's report is at the most: told to the module when it changes, since its age is what a
-    /// report is believed by.
+    /// Sets the highest age of a runner's report, and notifies the balancer when it changes: how far it
+    /// trusts a report depends on the report's age.
     fn update_report_age(&mut self, now: sr::Time) {
         let age =
             self.digest.as_ref().filter(|digest| digest.is_fresh(now)).map(|digest| digest.interval.secs());
@@ -43,7 +40,8 @@
         }
     }
 
-    /// A frame has come. One that leaves a gap is not believed, nor is what came before it any more.
+    /// Applies a frame. After a gap, the frame and everything received before it are discarded, and the full
+    /// digest is requested.
     pub(super) fn handle_digest(&mut self, now: sr::Time, frame: &Frame) {
         let Some(digest) = &mut self.digest else { return };
         match digest.follower.apply(frame) {
@@ -52,7 +50,7 @@
                 self.update_report_age(now);
                 loads.iter().for_each(|load| self.notify_load(now, load));
             }
-            // An earlier publisher's or a repeat: no sign that what is held is up to date.
+            // From an earlier publisher, or a repeat: does not show that the digest is up to date.
             ApplyOutcome::Stale => {}
             ApplyOutcome::Gap => {
                 digest.last_frame_at = None;
@@ -61,7 +59,8 @@
         }
     }
 
-    /// Whether a fresh digest covers a runner: then the module hears what the digest has, and no probe goes out.
+    /// Answers a probe from the digest if it is fresh and covers the runner. Returns whether it did;
+    /// otherwise the probe must be sent.
     pub(super) fn answer_probe_from_digest(&mut self, now: sr::Time, worker: sr::WorkerId) -> bool {
         self.update_report_age(now);
         let name = self.tables.workers.name(worker.0);
@@ -76,8 +75,9 @@
         true
     }
 
+    /// Passes a runner's load to the balancer as a probe's answer.
     fn notify_load(&mut self, now: sr::Time, load: &Load) {
-        // One that no list has named yet is heard of again when the module asks for it.
+        // A runner that no list has named yet is skipped; the balancer gets its load when it first probes it.
         if let Some(worker) = self.tables.workers.get(&load.runner) {
             let event = self.load_event(sr::WorkerId(worker), load);
             self.notify(now, event);
--- a/node/src/core/disabled.rs
+++ b/node/src/core/disabled.rs
@@ -1,38 +1,39 @@
-//! Runners taken out by hand, and how the listed runners stand. It owns which runners an operator has taken
-//! out and what the module hears of those in place of the lists' word. It must never decide where work
-//! goes: to the module a runner taken out is one that drains.
+//! Runners that an operator has disabled manually, and the counts of listed and avoided runners. The
+//! balancer sees a disabled runner as a draining one.
 
 use super::Core;
 use sablerun as sr;
 use std::collections::BTreeMap;
 
 impl<J: Clone> Core<J> {
-    /// Runners on the list, and of those the ones avoided now: by hand, as the list drains them, or by the
-    /// module's choice.
+    /// The number of listed runners, and of those that are avoided now: disabled, draining, or avoided by
+    /// the balancer.
     pub fn runner_counts(&self) -> (usize, usize) {
-        let avoided = |(worker, out): &(&u32, &bool)| **out || self.balancer.avoids(sr::WorkerId(**worker));
+        let avoided =
+            |(worker, avoided): &(&u32, &bool)| **avoided || self.balancer.avoids(sr::WorkerId(**worker));
         (self.avoided.len(), self.avoided.iter().filter(avoided).count())
     }
 
-    /// The runners taken out by hand, by name.
+    /// The names of the disabled runners.
     pub fn disabled_runners(&self) -> impl Iterator<Item = &str> {
         self.disabled.iter().map(|worker| self.tables.workers.name(*worker))
     }
 
-    /// Takes a runner out by hand, or puts it back: the module hears of it as of a drain, or of the list's
-    /// own word again. Asking twice changes nothing; a name never listed is turned down.
+    /// Disables a runner, or enables it again: the balancer is given its list entries as draining, or as
+    /// listed. Idempotent. A name that was never listed is an error, unless the call comes from the other process of
+    /// an upgrade (`from_peer`).
     pub(super) fn set_disabled(
         &mut self,
         now: sr::Time,
         runner: &str,
-        out: bool,
-        shared: bool,
+        disabled: bool,
+        from_peer: bool,
     ) -> Result<(), &'static str> {
-        let worker = match shared {
+        let worker = match from_peer {
             true => self.tables.workers.intern(runner),
             false => self.tables.workers.get(runner).ok_or("no runner of that id was ever listed")?,
         };
-        let changed = if out { self.disabled.insert(worker) } else { self.disabled.remove(&worker) };
+        let changed = if disabled { self.disabled.insert(worker) } else { self.disabled.remove(&worker) };
         if !changed {
             return Ok(());
         }
@@ -40,8 +41,9 @@
             self.list_entries.iter().filter(|((_, w), _)| *w == worker).map(|(_, e)| e.clone()).collect();
         if !entries.is_empty() {
             let mut entries = self.with_disabled_as_draining(entries);
-            if !out && self.settings.drain_binds_alone {
-                // There a drain holds until a later start: to the module the runner starts now, and cold.
+            if !disabled && self.settings.drain_binds_alone {
+                // With this setting a drain lasts until a later start, so the runner is shown as starting
+                // now, which includes slow start.
                 entries.iter_mut().for_each(|entry| entry.up_since = Some(now));
             }
             self.notify(now, sr::Event::List(sr::ListKind::Delta, entries));
@@ -50,7 +52,7 @@
         Ok(())
     }
 
-    /// Entries as the module is to hear them: a runner taken out by hand drains.
+    /// Returns the entries for the balancer, with disabled runners shown as draining.
     pub(super) fn with_disabled_as_draining(&self, mut entries: Vec<sr::ListEntry>) -> Vec<sr::ListEntry> {
         for entry in &mut entries {
             if self.disabled.contains(&entry.worker.0) && entry.standing == sr::Standing::Ready {
@@ -60,7 +62,7 @@
         entries
     }
 
-    /// Notes how the listed runners stand, once a list or a hand has changed that.
+    /// Updates the set of listed and avoided runners after a list or a manual change.
     pub(super) fn update_avoided(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
         for ((_, worker), entry) in &self.list_entries {
--- a/node/src/core/idempotency.rs
+++ b/node/src/core/idempotency.rs
@@ -1,34 +1,33 @@
-//! Clients' keys as the reducer meets them: for which requests they count, what a key that is known means
-//! for its request, and where a request under one may have run. The store owns the keys themselves; this
-//! must never let a request run that its key forbids.
+//! Idempotency keys in the core: which classes use them, how a known key decides the answer to its request,
+//! and where a request under a key may have run. The key store holds the keys themselves.
 
 use super::{Answer, Core, Request};
 use sablerun as sr;
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    /// Keeps clients' keys from now on.
+    /// Enables idempotency keys with this store.
     pub fn set_key_store(&mut self, store: keys::Store) {
         self.keys = Some(store);
     }
 
-    /// Whether a client's key counts for this class: where a repeat may do harm.
+    /// Whether keys are used for this class: only where a repeat could do harm.
     pub fn wants_key(&self, class: u32) -> bool {
         let class = self.settings.classes.get(class as usize);
         self.keys.is_some() && class.is_some_and(|class| class.effect != sr::Effect::Safe)
     }
 
-    /// The keys, where they are kept.
+    /// The key store, if keys are enabled.
     pub fn keys(&self) -> Option<&keys::Store> {
         self.keys.as_ref()
     }
 
-    /// Where a request under way may have run so far; for a snapshot of the keys.
+    /// Where an unfinished request may have run so far, for a snapshot of the keys.
     pub fn sent(&self, run: keys::RunId) -> Option<keys::SentAttempts> {
         self.requests.get(&(run.0 as u32)).and_then(|request| self.sends_that_may_have_run(request))
     }
 
-    /// The answer to a request whose key lets it neither begin nor join.
+    /// The answer to a request that its key allows neither to start nor to join another.
     pub(super) fn key_rejection(&self, admission: keys::Admission) -> Answer {
         use keys::Admission::*;
         match admission {
@@ -45,17 +44,18 @@
             }
             InvalidKey => Answer::Unfit("the idempotency key is empty or too long"),
             UnknownRetry => Answer::Failed("an earlier try may have run before this dispatcher started"),
-            // Those begin or join: nobody is turned away by them.
+            // Unreachable: these start or join a request.
             New | Resend(_) | Join(_) => Answer::Failed("an earlier try under this key has just ended"),
         }
     }
 
-    /// The sendings of a request that may have run.
+    /// The attempts of a request that may have run, merged into one record.
     pub(super) fn sends_that_may_have_run(&self, request: &Request<J>) -> Option<keys::SentAttempts> {
         let ran = request.attempts.iter().filter(|attempt| attempt.may_have_run);
         let sent = ran.map(|attempt| {
             let place = self.locations.get(&attempt.runner).copied().map(|place| {
-                // Only as much of it as tells halls apart that drop a repeat for each other.
+                // Keeps only the part of the location that separates groups of runners that deduplicate
+                // for each other.
                 match self.settings.classes[request.class as usize].effect {
                     sr::Effect::Keyed(sr::Group::All) => keys::Place { zone: 0, cell: 0 },
                     sr::Effect::Keyed(sr::Group::Zone) => keys::Place { cell: 0, ..place },
--- a/node/src/core/input.rs
+++ b/node/src/core/input.rs
@@ -1,5 +1,4 @@
-//! The reducer's words: what may happen to it and what it may ask for, with the types they carry. It owns
-//! their form, which fronts and links share with the core. It must never decide or change anything.
+//! The core's inputs and effects, and the types that they carry, shared with fronts and links.
 
 use super::Reconfiguration;
 use bytes::Bytes;
@@ -9,54 +8,54 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Whoever waits for an answer: a number that a front made up.
+/// The id of a waiting client, assigned by the runtime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request, by the module's number.
+    /// The request's number, as the balancer knows it.
     pub request: u32,
-    /// The attempt's number, from 0.
+    /// The attempt's index within the request, from 0.
     pub number: u32,
 }
 
-/// A request as a front hands it in. `J` is what links pass on; the core never looks into it.
+/// A request from a front. `J` is the payload that links forward; the core does not inspect it.
 #[derive(Clone, Debug)]
 pub struct Arrival<J> {
     pub ticket: Ticket,
-    /// Its id on the wires.
+    /// The request's id on the wire.
     pub id: Rc<str>,
     pub class: u32,
     pub tenant: Option<u32>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: sr::Time,
     pub slots: f64,
     pub memory: f64,
     pub estimate: sr::Span,
     pub retry: bool,
-    /// The client's key, where keys are kept for its class.
+    /// The client's idempotency key, if keys are used for the class.
     pub key: Option<Key>,
     pub job: J,
 }
 
-/// A client's key for a request, and what it stands for.
+/// A client's idempotency key, and the fingerprint of the request that it identifies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Key {
     pub text: Rc<str>,
     pub fingerprint: keys::Fingerprint,
 }
 
-/// Who tells of runners: a whole list from one source says nothing of the others' runners.
+/// The source of a runner list. A full list from one source does not affect the runners of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Source {
     Discovery,
-    /// Runners that connected to a front by themselves.
+    /// Runners that connected to a front themselves.
     SelfRegistered,
 }
 
-/// A runner as a list names it.
+/// A runner's entry in a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedRunner {
     pub name: String,
@@ -71,58 +70,58 @@
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// What a runner made.
+    /// The runner's result.
     Served(Bytes),
-    /// Trying again is harmless, but not before this has passed.
+    /// Not executed: safe to retry after this time.
     Refused(sr::Span),
-    /// Nothing is promised.
+    /// Failed: the request may have run.
     Failed(&'static str),
-    /// It was never taken: the client can't mean this.
+    /// Rejected as invalid: never accepted.
     Unfit(&'static str),
 }
 
-/// How an attempt ended, as a link saw it.
+/// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
     pub outcome: sr::Outcome,
-    /// What the runner made, where it served.
+    /// The runner's result if the outcome is `Ok`, else empty.
     pub result: Bytes,
     pub report: Option<sr::Report>,
 }
 
 impl AttemptEnd {
-    /// An end without result or report.
+    /// An end without result and report.
     pub fn without_report(outcome: sr::Outcome) -> AttemptEnd {
         AttemptEnd { outcome, result: Bytes::new(), report: None }
     }
 }
 
-/// What has happened.
+/// An event for the core.
 #[derive(Clone, Debug)]
 pub enum Input<J> {
     Arrived(Arrival<J>),
-    /// The client has left before its answer.
+    /// The client disconnected before its answer.
     ClientGone(Ticket),
-    /// A runner tells that a job has started, by the request's id and its own name.
+    /// The runner `from` reports that the job of request `id` has started.
     Started {
         id: String,
         from: String,
     },
-    /// A runner tells how far a job is.
+    /// A runner reports a job's progress.
     Progress {
         id: String,
         from: String,
         share: f64,
     },
-    /// A runner tells how a job ended.
+    /// A runner reports how a job ended.
     Finished {
         id: String,
         from: String,
         end: AttemptEnd,
     },
-    /// A link saw an attempt end.
+    /// A link observed the end of an attempt.
     AttemptEnded(AttemptId, AttemptEnd),
-    /// A runner can't use the request of an attempt.
+    /// A runner rejected the request of an attempt as invalid.
     Unusable(AttemptId),
     Probed {
         runner: String,
@@ -132,30 +131,30 @@
     /// A frame of the load digest.
     Digest(Frame),
     List(Source, sr::ListKind, Vec<ListedRunner>),
-    /// A call for the list failed or its watch broke.
+    /// A call for the runner list failed or the watch on it broke.
     ListFailed,
-    /// Nothing comes over the watch any more, not even a sign of life.
+    /// The watch delivers nothing any more, not even keep-alives.
     ListSilent,
-    /// New settings hold from now on.
+    /// New settings apply from now on.
     Reconfigure(Box<Reconfiguration>),
-    /// The list is to be asked for at this address from now on.
+    /// The runner list is served at this address from now on.
     DiscoveryMoved(SocketAddr),
-    /// The program ends then: whatever is unanswered by that time is answered.
+    /// The program ends at this time: requests unanswered by then are answered.
     StopAt(sr::Time),
-    /// An operator takes a runner out by hand (`out`), or puts it back; `call` is told with the result.
-    /// A call that the other process of an upgrade took (`shared`) may name a runner not listed here yet.
+    /// An operator disables or enables a runner; the result is returned under the number `call`. A call
+    /// that the other process of an upgrade accepted (`from_peer`) may name a runner not listed here yet.
     SetDisabled {
         call: u64,
         runner: String,
         disabled: bool,
         from_peer: bool,
     },
-    /// Time has passed: a timer may be due.
+    /// A timer may be due.
     TimerDue,
 }
 
 impl<J> Input<J> {
-    /// What kind it is, for figures by kind.
+    /// The input's kind, for metrics by kind.
     pub fn name(&self) -> &'static str {
         match self {
             Input::Arrived(_) => "arrived",
@@ -178,7 +177,7 @@
     }
 }
 
-/// What is to be done.
+/// An action for the runtime to execute.
 #[derive(Clone, Debug)]
 pub enum Effect<J> {
     Answer(Ticket, Answer),
@@ -189,19 +188,21 @@
         job: J,
         deadline: sr::Time,
     },
-    /// Stop waiting for an attempt and let its runner know.
+    /// Stop waiting for an attempt and notify its runner.
     Cancel(AttemptId),
-    /// An attempt has ended by itself: whatever a link holds of it can go.
+    /// An attempt has ended without being cancelled: links drop their state for it.
     Forget(AttemptId),
-    /// Ask there for the list and its changes from now on.
+    /// Watch the runner list at this address.
     Subscribe(SocketAddr),
-    /// Ask there for the whole list once.
+    /// Fetch the full runner list from this address once.
     Fetch(SocketAddr),
+    /// Ask a runner for its load.
     Probe(String),
-    /// Ask the digest for the whole: frames are missing.
+    /// Fetch the full digest, because frames are missing.
     FetchDigest,
+    /// Close idle connections to a runner.
     CloseIdle(String),
-    /// What came of an operator's call to take a runner out or put it back.
+    /// The result of an operator's call to disable or enable a runner.
     AdminResult {
         call: u64,
         result: Result<(), &'static str>,
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -1,12 +1,12 @@
-//! Lists of runners. It owns what each source last said of its runners, and where they stand, and turns
-//! names into the module's numbers. It must never judge a runner, nor let one source's list speak for
-//! another's.
+//! Runner lists. Keeps the last entries of each source, maps names to the balancer's numbers, and merges
+//! full lists so that one source's list never removes another source's runners.
 
 use super::{Core, ListedRunner, Source};
 use sablerun as sr;
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
+    /// Applies a list or a change of one, and passes the merged result to the balancer.
     pub(super) fn handle_list(
         &mut self,
         now: sr::Time,
@@ -38,7 +38,7 @@
                 };
             }
         } else {
-            // Whole for its source alone: the others' runners stay on the list.
+            // The list is full for its source only: the other sources' runners are added to it.
             self.list_entries.retain(|(from, _), _| *from != source);
             self.list_entries.extend(changed.iter().map(|entry| ((source, entry.worker.0), entry.clone())));
             changed.extend(
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -1,30 +1,29 @@
-//! Retuning: new settings taken while requests are under way. It owns which of the classes ever numbered
-//! a client may name now, and hands the module and the store of keys what they need of the rest. It must
-//! never read a configuration, nor change what a request under way was promised.
+//! Reconfiguration: new settings are applied while requests are in progress. Tracks which classes a client
+//! may name now, and updates the balancer and the key store. Requests in progress keep their class's terms.
 
 use super::Core;
 use sablerun as sr;
 use sablerun_keys as keys;
 use sablerun_settings::{Tables, reconcile};
 
-/// New settings as the configuration gives them, with name tables of their own.
+/// New settings as converted from the configuration, numbered by their own name tables.
 #[derive(Clone, Debug)]
 pub struct Reconfiguration {
     pub settings: sr::Settings,
     pub tables: Tables,
-    /// For how long keys of each of their classes are kept, where keys are kept.
+    /// The retention rule of idempotency keys for each of these classes; empty if keys are disabled.
     pub rules: Vec<keys::Retention>,
-    /// Until then a class that is named no more is taken still: clients that have not heard yet, and
-    /// requests on their way.
+    /// Until when a removed class is still accepted, for requests on their way and clients that do not know
+    /// the new settings yet.
     pub until: sr::Time,
 }
 
 impl<J: Clone> Core<J> {
-    /// The number and the terms of a class that a client may name now.
+    /// Returns the number and the settings of a class if a client may name it now.
     pub fn class(&self, now: sr::Time, name: &str) -> Option<(u32, &sr::Class)> {
         let number = self.tables.classes.get(name)?;
-        let gone = self.removed_classes.get(&number).is_some_and(|until| now >= *until);
-        if gone { None } else { Some((number, self.settings.classes.get(number as usize)?)) }
+        let removed = self.removed_classes.get(&number).is_some_and(|until| now >= *until);
+        if removed { None } else { Some((number, self.settings.classes.get(number as usize)?)) }
     }
 
     /// Whether a request must name its tenant.
@@ -32,22 +31,22 @@
         self.requires_tenant
     }
 
-    /// Puts new settings to use for what comes from now on; what is under way keeps its class, and makes
-    /// no more attempts than both settings allow.
-    pub(super) fn reconfigure(&mut self, now: sr::Time, retune: Reconfiguration) {
-        let Reconfiguration { settings, tables, rules, until } = retune;
+    /// Applies new settings to requests that arrive from now on. Requests in progress keep their class, and
+    /// make no more attempts than both settings allow.
+    pub(super) fn reconfigure(&mut self, now: sr::Time, reconfiguration: Reconfiguration) {
+        let Reconfiguration { settings, tables, rules, until } = reconfiguration;
         self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
-        let renewed = reconcile(&self.settings, &mut self.tables, settings, &tables);
+        let reconciled = reconcile(&self.settings, &mut self.tables, settings, &tables);
         let report_age = self.settings.report_age;
-        self.settings = sr::Settings { report_age, ..renewed.settings };
-        for (number, rule) in renewed.classes.iter().zip(rules) {
+        self.settings = sr::Settings { report_age, ..reconciled.settings };
+        for (number, rule) in reconciled.classes.iter().zip(rules) {
             if let Some(store) = self.keys.as_mut().filter(|_| *number as usize >= before) {
                 store.add_class(rule);
             }
         }
         for number in 0..self.settings.classes.len() as u32 {
-            if renewed.classes.contains(&number) {
+            if reconciled.classes.contains(&number) {
                 self.removed_classes.remove(&number);
             } else {
                 self.removed_classes.entry(number).or_insert(until);
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -1,6 +1,5 @@
-//! Requests from their arrival to their one final answer. It owns who waits for an answer and for how
-//! long, and drops a request once it is answered and nothing of it is out. It must never answer a ticket
-//! twice or late, nor choose a runner.
+//! Requests, from their arrival to their final answer. Each waiting ticket is answered exactly once, by its
+//! deadline; a request is dropped once it is answered and has no live attempt.
 
 use super::timers::Timer;
 use super::{Answer, Arrival, Core, Effect, PendingKey, Request, Ticket};
@@ -14,19 +13,19 @@
         let Arrival { ticket, id, class, tenant, deadline, slots, memory, estimate, retry, key, job } =
             arrival;
         if self.requests_by_ticket.len() >= self.max_open {
-            // Nothing of it has run: a refusal is safe for every class.
+            // Nothing has run, so a refusal is safe for every class.
             return self.answer_ticket(ticket, Answer::Refused(self.hold_off()));
         }
-        // Runners tell requests apart by their ids: a second one under a live id can't be sent.
-        let twin = self.requests_by_id.get(&id).and_then(|twin| self.requests.get(twin));
-        let same_key = |twin: &Request<J>| match (&twin.key, &key) {
-            (Some(held), Some(key)) => held.text == key.text && !twin.answered,
+        // Runners identify requests by id, so a second request with the id of a present one can't be sent.
+        let duplicate = self.requests_by_id.get(&id).and_then(|number| self.requests.get(number));
+        let same_key = |other: &Request<J>| match (&other.key, &key) {
+            (Some(pending), Some(key)) => pending.text == key.text && !other.answered,
             _ => false,
         };
-        if twin.is_some_and(|twin| !same_key(twin)) {
+        if duplicate.is_some_and(|other| !same_key(other)) {
             return self.answer_ticket(ticket, Answer::Failed("a request with this id is under way"));
         }
-        // Nobody answers after the end.
+        // No request outlives the program.
         let deadline = self.stop_at.map_or(deadline, |stop| deadline.min(stop));
         let number = self.next_request;
         let member = tenant.map_or(keys::Member::NONE, keys::Member);
@@ -65,7 +64,7 @@
         let arrival = sr::Arrival {
             request: sr::RequestId(number),
             class: sr::ClassId(class),
-            // Its key's member stays; but where no tenant has a share, nobody is beyond one.
+            // Without tenants in the settings there are no shares to exceed; the key keeps its member.
             tenant: tenant.filter(|_| self.requires_tenant).map(sr::TenantId),
             deadline,
             slots,
@@ -77,13 +76,13 @@
         self.notify(now, sr::Event::Arrival(arrival));
     }
 
-    /// How long whoever is refused unseen is to stay away.
+    /// The retry delay for requests that are refused before the balancer sees them.
     fn hold_off(&self) -> sr::Span {
         let shortest = self.settings.classes.iter().map(|class| class.objective).min();
         self.settings.max_hold_off.min(shortest.unwrap_or_default())
     }
 
-    /// Answers a ticket, which waits no more.
+    /// Emits the final answer to a ticket that is no longer waiting.
     pub(super) fn answer_ticket(&mut self, ticket: Ticket, answer: Answer) {
         match answer {
             Answer::Served(_) => self.tally.served += 1,
@@ -94,16 +93,16 @@
         self.effects.push(Effect::Answer(ticket, answer));
     }
 
-    /// A repeat waits for the answer of the request under way, each client by its own deadline.
+    /// Adds a repeat's ticket to a request in progress, with the ticket's own deadline.
     pub(super) fn join_request(&mut self, now: sr::Time, request: u32, ticket: Ticket, deadline: sr::Time) {
-        let Some(held) = self.requests.get_mut(&request).filter(|held| !held.answered) else {
-            // A key is under way only with a request that is not answered: this is for nobody to meet.
+        let Some(entry) = self.requests.get_mut(&request).filter(|entry| !entry.answered) else {
+            // Unreachable: the key store only joins requests that are not answered.
             return self
                 .answer_ticket(ticket, Answer::Failed("an earlier try under this key has just ended"));
         };
-        held.waiters.push((ticket, deadline));
-        let later = deadline > held.deadline;
-        held.deadline = held.deadline.max(deadline);
+        entry.waiters.push((ticket, deadline));
+        let later = deadline > entry.deadline;
+        entry.deadline = entry.deadline.max(deadline);
         self.requests_by_ticket.insert(ticket, request);
         self.set_timer(deadline, Timer::Deadline(request));
         if later {
@@ -111,23 +110,23 @@
         }
     }
 
-    /// A client has left: its request goes on while others wait for it.
+    /// Removes a client that disconnected. Its request continues while other tickets wait for it.
     pub(super) fn handle_client_gone(&mut self, now: sr::Time, ticket: Ticket) {
         let Some(request) = self.requests_by_ticket.remove(&ticket) else { return };
         self.tally.left += 1;
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        held.waiters.retain(|(waiting, _)| *waiting != ticket);
-        if held.waiters.is_empty() {
+        let Some(entry) = self.requests.get_mut(&request) else { return };
+        entry.waiters.retain(|(waiting, _)| *waiting != ticket);
+        if entry.waiters.is_empty() {
             self.close_request(now, request, None);
             self.notify(now, sr::Event::Closed(sr::RequestId(request)));
             self.remove_if_finished(request);
         }
     }
 
-    /// Gives the final answer to all who wait, unless there has been one.
+    /// Gives the final answer to all waiting tickets, unless the request is already answered.
     pub(super) fn answer_request(&mut self, now: sr::Time, request: u32, answer: Answer) {
-        let Some(held) = self.requests.get_mut(&request).filter(|r| !r.answered) else { return };
-        let waiting = std::mem::take(&mut held.waiters);
+        let Some(entry) = self.requests.get_mut(&request).filter(|r| !r.answered) else { return };
+        let waiting = std::mem::take(&mut entry.waiters);
         for (ticket, _) in waiting {
             self.requests_by_ticket.remove(&ticket);
             self.answer_ticket(ticket, answer.clone());
@@ -136,55 +135,55 @@
         self.close_request(now, request, result);
     }
 
-    /// Nobody waits any more; what is known of the key is kept.
+    /// Marks a request as answered and records its outcome under its key.
     pub(super) fn close_request(&mut self, now: sr::Time, request: u32, result: Option<Bytes>) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        held.answered = true;
-        let Some(key) = held.key.take() else { return };
-        let held = &self.requests[&request];
-        let fate = match (result, self.sends_that_may_have_run(held)) {
+        let Some(entry) = self.requests.get_mut(&request) else { return };
+        entry.answered = true;
+        let Some(key) = entry.key.take() else { return };
+        let entry = &self.requests[&request];
+        let fate = match (result, self.sends_that_may_have_run(entry)) {
             (Some(result), _) => keys::Resolution::Served(result),
             (None, Some(sent)) => keys::Resolution::MayHaveRun(sent),
             (None, None) => keys::Resolution::NeverRan,
         };
         if let Some(store) = &mut self.keys {
-            store.resolve(now, key.member, held.class, key.text.as_bytes(), fate);
+            store.resolve(now, key.member, entry.class, key.text.as_bytes(), fate);
         }
     }
 
-    /// Drops a request that is answered and has no attempt out.
+    /// Drops a request that is answered and has no live attempt.
     pub(super) fn remove_if_finished(&mut self, request: u32) {
         if self.requests.get(&request).is_some_and(|r| r.answered && r.attempts.iter().all(|a| !a.live)) {
-            let held = self.requests.remove(&request).expect("looked up above");
-            self.requests_by_id.remove(&held.id);
+            let entry = self.requests.remove(&request).expect("looked up above");
+            self.requests_by_id.remove(&entry.id);
         }
     }
 
-    /// The client's deadline, or the program's end: whatever the module says, the client hears now, and
-    /// what is still out has timed out. The answer comes first: the module must not try again on a
-    /// time-out that it hears of here.
+    /// Answers the tickets whose deadline has passed, or all of them at shutdown, whatever the balancer has
+    /// decided. If none is left, the live attempts time out. The answer comes first, so that the balancer
+    /// does not retry on these time-outs.
     pub(super) fn expire_request(&mut self, now: sr::Time, request: u32, stopped: bool) {
         let hold_off = self.hold_off();
-        if let Some(held) = self.requests.get_mut(&request).filter(|r| !r.answered) {
-            // What was never sent can be tried again by any class.
-            let answer = match held.attempts.is_empty() && held.prior_sent.is_none() {
+        if let Some(entry) = self.requests.get_mut(&request).filter(|r| !r.answered) {
+            // A request that was never sent can be retried in any class.
+            let answer = match entry.attempts.is_empty() && entry.prior_sent.is_none() {
                 true => Answer::Refused(hold_off),
                 false => Answer::Failed("not done by the deadline"),
             };
-            let ends = |(_, deadline): &mut (Ticket, sr::Time)| *deadline <= now || stopped;
-            let due: Vec<_> = held.waiters.extract_if(.., ends).collect();
-            let others = !held.waiters.is_empty();
+            let is_due = |(_, deadline): &mut (Ticket, sr::Time)| *deadline <= now || stopped;
+            let due: Vec<_> = entry.waiters.extract_if(.., is_due).collect();
+            let others_wait = !entry.waiters.is_empty();
             for (ticket, _) in due {
                 self.requests_by_ticket.remove(&ticket);
                 self.answer_ticket(ticket, answer.clone());
             }
-            if others {
+            if others_wait {
                 return;
             }
             self.close_request(now, request, None);
             self.notify(now, sr::Event::Closed(sr::RequestId(request)));
         }
-        let attempts = self.requests.get(&request).map_or(0, |held| held.attempts.len());
+        let attempts = self.requests.get(&request).map_or(0, |entry| entry.attempts.len());
         for number in 0..attempts as u32 {
             self.cancel_attempt(request, number, sr::Outcome::Timeout);
         }
--- a/node/src/core/timers.rs
+++ b/node/src/core/timers.rs
@@ -1,6 +1,5 @@
-//! The reducer's timers: the module's, the requests' deadlines and the end of the program. It owns their
-//! order, and sees to it that a step runs each due one once and ends. It must never read a clock: time
-//! comes with each step.
+//! The core's timers: the balancer's, the requests' deadlines and the end of the program. Each step runs
+//! every due timer once; the time comes with the step.
 
 use super::Core;
 use sablerun as sr;
@@ -25,7 +24,7 @@
     }
 
     pub(super) fn run_timers(&mut self, now: sr::Time) {
-        // Timers that the due ones set wait for the next step, so that a step always ends.
+        // Timers set by the due ones wait for the next step, so that a step always terminates.
         let mut due = Vec::new();
         while let Some(&Reverse((at, _, timer))) = self.timers.peek()
             && at <= now
