--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -211,8 +211,12 @@
             }
             Input::AttemptEnded(attempt, end) => {
                 let answered = end.outcome.never_ran() || end.outcome == sr::Outcome::Error;
-                let late_report = if answered { LateReport::None } else { LateReport::Any };
-                self.end_attempt(now, attempt, end, late_report);
+                self.end_attempt(
+                    now,
+                    attempt,
+                    end,
+                    if answered { LateReport::None } else { LateReport::Any },
+                );
             }
             Input::Unusable(attempt) => self.handle_unusable(now, attempt),
             Input::Probed { runner, ok, report } => {
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -1,6 +1,6 @@
-//! Runs the core: hands it inputs one at a time, carries out the effects it asks for, wakes it when a
-//! timer is due and leads the program from its start to its end. It must never change the dispatcher's
-//! state except through [`Core::step`], nor speak a wire: that is for what stands in `net`.
+//! Runs the core: feeds it inputs one at a time, applies the effects that it returns, wakes it when a timer
+//! is due and holds the shutdown state. The dispatcher's state changes only through [`Core::step`]; the
+//! wire protocols are in `net`.
 
 mod clock;
 mod job;
@@ -28,31 +28,34 @@
 use tickets::Waiter;
 use tokio::sync::Notify;
 
-/// The core and what surrounds it.
+/// The core with its links, timers, waiting clients and metrics.
 pub struct Runtime {
     pub limits: Limits,
     pub clock: Clock,
     core: RefCell<Core<Rc<Job>>>,
     pending_inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
+    /// Whether an input is being processed: further ones are queued.
     stepping: Cell<bool>,
     links: RefCell<Vec<Rc<dyn Link>>>,
     list_source: RefCell<Option<Rc<dyn RunnerListSource>>>,
     digest_source: RefCell<Option<Rc<dyn DigestSource>>>,
     waiters: RefCell<HashMap<Ticket, Waiter>>,
-    /// The figures that the operators' door reads.
+    /// The metrics that the admin socket serves.
     pub metrics: Arc<Metrics>,
-    /// The counters of each class, by number: found without the registry's lock.
+    /// The counters of each class, by number, for access without the registry's lock.
     metrics_by_class: RefCell<Vec<Arc<ClassMetrics>>>,
-    /// Operators' calls under way, and what came of the last.
+    /// The number and the result of the last operator's call.
     admin_result: RefCell<Option<(u64, Result<(), &'static str>)>>,
+    /// The last number given to a ticket or an operator's call.
     last_ticket: Cell<u64>,
-    /// When the runners were last counted.
+    /// When the runner metrics were last updated.
     runners_counted_at: Cell<Instant>,
+    /// Notified when the core's next timer changes.
     timer_changed: Notify,
     stopping: Cell<bool>,
     /// The longest deadline of the settings in force.
     longest_deadline: Cell<Duration>,
-    /// Who looks on: nobody, but where the lab plays dispatchers in its own process.
+    /// Set only where the lab runs dispatchers in its own process.
     observer: OnceCell<Rc<dyn Observer>>,
 }
 
@@ -80,47 +83,48 @@
         })
     }
 
-    /// Adds a way to runners; earlier ones are asked first.
+    /// Adds a connector to runners. Earlier ones take precedence.
     pub fn add_link(&self, link: Rc<dyn Link>) {
         self.links.borrow_mut().push(link);
     }
 
-    pub fn set_list_source(&self, roster: Rc<dyn RunnerListSource>) {
-        *self.list_source.borrow_mut() = Some(roster);
+    pub fn set_list_source(&self, source: Rc<dyn RunnerListSource>) {
+        *self.list_source.borrow_mut() = Some(source);
     }
 
-    /// Follows a digest with a frame each `every`, which is believed for so long after each.
-    pub fn set_digest_source(&self, digests: Rc<dyn DigestSource>, every: sr::Span, silent: sr::Span) {
-        self.core.borrow_mut().follow_digest(every, silent);
-        *self.digest_source.borrow_mut() = Some(digests);
+    /// Follows a digest with a frame every `interval`, which is fresh for `max_silence` after each.
+    pub fn set_digest_source(&self, source: Rc<dyn DigestSource>, interval: sr::Span, max_silence: sr::Span) {
+        self.core.borrow_mut().follow_digest(interval, max_silence);
+        *self.digest_source.borrow_mut() = Some(source);
     }
 
+    /// Disables or enables a runner manually. `from_peer`: the other process of an upgrade accepted the call.
     ///
     /// # Errors
     ///
-    /// Why it was turned down: the runner was never listed.
-    pub fn set_disabled(&self, runner: String, out: bool, shared: bool) -> Result<(), &'static str> {
+    /// The runner was never listed.
+    pub fn set_disabled(&self, runner: String, disabled: bool, from_peer: bool) -> Result<(), &'static str> {
         self.last_ticket.set(self.last_ticket.get() + 1);
         let call = self.last_ticket.get();
-        self.feed(Input::SetDisabled { call, runner, disabled: out, from_peer: shared });
+        self.feed(Input::SetDisabled { call, runner, disabled, from_peer });
         match self.admin_result.borrow_mut().take() {
-            Some((said, result)) if said == call => result,
+            Some((number, result)) if number == call => result,
             _ => Err("the call was not carried out: call again"),
         }
     }
 
-    /// Hands the core an input. What happens while its effects are carried out waits its turn.
+    /// Feeds the core an input and applies the effects. Inputs that arrive meanwhile are queued.
     pub fn feed(&self, input: Input<Rc<Job>>) {
         self.pending_inputs.borrow_mut().push_back(input);
         if self.stepping.replace(true) {
             return;
         }
         let before = self.core.borrow().next_timer();
-        let mut tells_of_runners = false;
+        let mut runners_changed = false;
         loop {
             let next = self.pending_inputs.borrow_mut().pop_front();
             let Some(input) = next else { break };
-            tells_of_runners |= matches!(input, Input::List(..) | Input::SetDisabled { .. });
+            runners_changed |= matches!(input, Input::List(..) | Input::SetDisabled { .. });
             log_input(&input);
             let effects = self.step(input);
             for effect in effects {
@@ -129,7 +133,7 @@
         }
         self.stepping.set(false);
         Metrics::set(&self.metrics.current, self.core.borrow().open());
-        if tells_of_runners || self.runners_counted_at.get().elapsed() > self.limits.runner_count_interval {
+        if runners_changed || self.runners_counted_at.get().elapsed() > self.limits.runner_count_interval {
             self.update_runner_metrics();
         }
         if self.core.borrow().next_timer() != before {
@@ -143,15 +147,15 @@
                 if let Answer::Refused(_) | Answer::Failed(_) = answer {
                     log::debug!("ticket {}: {answer:?}", ticket.0);
                 }
-                let waiting = self.waiters.borrow_mut().remove(&ticket);
-                if let Some((waiting, figures)) = waiting {
-                    figures.count(match answer {
+                let waiter = self.waiters.borrow_mut().remove(&ticket);
+                if let Some((sender, metrics)) = waiter {
+                    metrics.count(match answer {
                         Answer::Served(_) => AnswerKind::Answered,
                         Answer::Refused(_) => AnswerKind::Deferred,
                         Answer::Failed(_) | Answer::Unfit(_) => AnswerKind::Errored,
                     });
-                    // Fails only if the client has just left: nobody is owed anything then.
-                    let _ = waiting.send(answer);
+                    // Fails only if the client has just disconnected.
+                    let _ = sender.send(answer);
                 }
             }
             Effect::Start { attempt, id, runner, job, deadline } => match self.link_to(&runner) {
@@ -172,11 +176,11 @@
             }
             Effect::Forget(attempt) => self.links.borrow().iter().for_each(|link| link.forget(attempt)),
             Effect::Subscribe(at) | Effect::Fetch(at) => {
-                let roster = self.list_source.borrow().clone();
+                let source = self.list_source.borrow().clone();
                 log::debug!("call for the list at {at}");
-                match (roster, effect) {
-                    (Some(roster), Effect::Subscribe(_)) => roster.subscribe(at),
-                    (Some(roster), _) => roster.fetch(at),
+                match (source, effect) {
+                    (Some(source), Effect::Subscribe(_)) => source.subscribe(at),
+                    (Some(source), _) => source.fetch(at),
                     (None, _) => {}
                 }
             }
@@ -188,8 +192,8 @@
                 }
             }
             Effect::FetchDigest => {
-                let digests = self.digest_source.borrow().clone();
-                digests.into_iter().for_each(|digests| digests.fetch_full());
+                let source = self.digest_source.borrow().clone();
+                source.into_iter().for_each(|source| source.fetch_full());
             }
             Effect::AdminResult { call, result } => *self.admin_result.borrow_mut() = Some((call, result)),
             Effect::CloseIdle(runner) => {
@@ -204,7 +208,7 @@
         self.links.borrow().iter().find(|link| link.reaches(runner)).cloned()
     }
 
-    /// Wakes the core whenever a timer is due; never ends.
+    /// Wakes the core whenever a timer is due; never returns.
     pub async fn run_timers(&self) {
         loop {
             let due = self.core.borrow().next_timer();
@@ -221,29 +225,29 @@
         }
     }
 
-    /// Whether the program has been told to end: connections are not kept any more.
+    /// Whether shutdown has begun: connections are no longer kept open.
     pub fn stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Begins the end: connections close after their answers.
+    /// Begins the shutdown: connections close after their answers.
     pub fn begin_shutdown(&self) {
         self.stopping.set(true);
     }
 
-    /// Requests that have no final answer yet.
+    /// The number of tickets without a final answer.
     pub fn open(&self) -> usize {
         self.core.borrow().open()
     }
 
-    /// Settings that are in force from now on: how long the program may take to end goes by them.
+    /// Records the longest deadline of the settings in force, which determines the shutdown times.
     pub fn update_longest_deadline(&self, settings: &sr::Settings) {
         let longest = settings.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
         self.longest_deadline.set(Duration::from_nanos(longest));
     }
 
-    /// For how long clients find everything as usual after SIGTERM, and when whatever is unanswered is
-    /// answered and the program ends, by the settings in force now.
+    /// For how long clients are served as usual after SIGTERM, and after how long the program answers what is
+    /// unanswered and ends, under the settings in force now.
     pub fn shutdown_times(&self) -> (Duration, Duration) {
         self.limits.shutdown_times(self.longest_deadline.get())
     }
--- a/node/src/runtime/clock.rs
+++ b/node/src/runtime/clock.rs
@@ -1,16 +1,15 @@
-//! The program's clock. It owns how its times and those of other machines are told; nothing else may ask
-//! the system for the time of day.
+//! The program's clock. The only module that reads the system's time of day.
 
 use sablerun as sr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The system's time, since the Unix epoch.
+/// The system's time since the Unix epoch.
 pub fn unix_now() -> sr::Time {
     sr::Time(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64)
 }
 
-/// The program's clock: monotonic, and at its start the system's, so that other machines' times can
-/// be read on it.
+/// A monotonic clock that is set to the system's time at the start, so that times from other machines are
+/// comparable with its own.
 pub struct Clock {
     started: Instant,
     unix: u64,
@@ -30,12 +29,12 @@
         self.started.elapsed()
     }
 
-    /// A moment of the clock as the runtime's timers know it.
+    /// Converts a time of this clock to an [`Instant`].
     pub fn instant(&self, at: sr::Time) -> Instant {
         self.started + Duration::from_nanos(at.0.saturating_sub(self.unix))
     }
 
-    /// A time in Unix milliseconds; 0 means long ago.
+    /// Converts Unix milliseconds; 0 means unknown (long ago) and gives `None`.
     pub fn unix_ms(&self, ms: u64) -> Option<sr::Time> {
         (ms > 0).then(|| sr::Time(ms.saturating_mul(1_000_000)))
     }
--- a/node/src/runtime/job.rs
+++ b/node/src/runtime/job.rs
@@ -1,19 +1,20 @@
-//! What is passed on of a request. It owns no more than its parts; it must never know a wire.
+//! The payload of a request that links forward to a runner.
 
 use bytes::Bytes;
 
-/// What is passed on of a request, the same for every wire.
+/// The payload of a request, independent of the wire protocol.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Job {
     /// Path and query, unchanged.
     pub target: String,
     pub body: Bytes,
-    /// The key under which runners drop repeats.
+    /// The key under which runners deduplicate repeats.
     pub key: Option<String>,
     pub content_type: Option<String>,
     pub class: String,
     pub tenant: Option<String>,
-    /// Where its client named them: the queue it stands in, and the job as the client wrote it.
+    /// The queue, if the client named one.
     pub queue: Option<String>,
+    /// The job as the client wrote it, if it came over a protocol with its own job format.
     pub original: Option<Bytes>,
 }
--- a/node/src/runtime/links.rs
+++ b/node/src/runtime/links.rs
@@ -1,4 +1,4 @@
-//! What the runtime asks of the wires: ways to runners and to discovery. It must never name one of them.
+//! The interfaces that the runtime uses to reach runners, the load digest and discovery.
 
 use crate::core::AttemptId;
 use crate::runtime::Job;
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A way to runners: carries attempts to those that it knows.
+/// A connector to one kind of runner: sends attempts to the runners that it reaches.
 pub trait Link {
-    /// Whether this link leads to a runner.
+    /// Whether this link reaches a runner.
     fn reaches(&self, runner: &str) -> bool;
-    /// Begins an attempt; tells the runtime how it ends.
+    /// Begins an attempt, and reports its end to the runtime.
     fn start(&self, attempt: AttemptId, id: Rc<str>, runner: &str, job: Rc<Job>, deadline: sr::Time);
-    /// Stops waiting for an attempt and lets its runner know. Attempts that are not its own are ignored.
+    /// Stops waiting for an attempt and notifies its runner. Ignores other links' attempts.
     fn cancel(&self, attempt: AttemptId);
-    /// Lets go of an attempt that has ended.
+    /// Drops the state of an attempt that has ended.
     fn forget(&self, attempt: AttemptId);
     /// Asks a runner for its load.
     fn probe(&self, runner: &str);
@@ -22,18 +22,18 @@
     fn close_idle(&self, runner: &str);
 }
 
-/// The way to a load digest.
+/// The connection to the publisher of a load digest.
 pub trait DigestSource {
-    /// Asks for the whole anew.
+    /// Requests the full digest again.
     fn fetch_full(&self);
 }
 
-/// The way to discovery.
+/// The connection to discovery.
 pub trait RunnerListSource {
-    /// Asks this address for changes from now on.
+    /// Watches the list at this address from now on.
     fn subscribe(&self, at: SocketAddr);
-    /// Asks this address for the whole list once.
+    /// Fetches the full list from this address once.
     fn fetch(&self, at: SocketAddr);
-    /// Whether discovery has told a list since the start.
+    /// Whether discovery has delivered a list since the start.
     fn has_list(&self) -> bool;
 }
--- a/node/src/runtime/observer.rs
+++ b/node/src/runtime/observer.rs
@@ -1,5 +1,5 @@
-//! Who looks on at a dispatcher from within its process: the lab, which plays many in one and has no log of each.
-//! It owns what such a one is shown. It must never change what is done, nor cost anything where nobody looks.
+//! Hooks for an observer within the process: the lab, which runs many dispatchers in one process and has no
+//! log of each. Observation does not change behaviour, and costs nothing without an observer.
 
 use super::Runtime;
 use crate::core::{Effect, Input};
@@ -7,26 +7,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Somebody who looks on.
+/// Receives events of a dispatcher.
 pub trait Observer {
-    /// The core took so long over an input of this kind.
+    /// The core processed an input of this kind in this time.
     fn stepped(&self, input: &'static str, took: Duration);
-    /// The list, or a change of it, at this version is handed to the core now.
+    /// The runner list, or a change of it, at this version is being passed to the core.
     fn listed(&self, version: u64);
 }
 
 impl Runtime {
-    /// Lets somebody look on from now on; the first one stays.
+    /// Sets the observer. Ignored if there is one already.
     pub fn set_observer(&self, observer: Rc<dyn Observer>) {
         let _ = self.observer.set(observer);
     }
 
-    /// Who looks on, if anybody does.
+    /// The observer, if there is one.
     pub fn observer(&self) -> Option<&Rc<dyn Observer>> {
         self.observer.get()
     }
 
-    /// One step of the core, timed where somebody looks on.
+    /// Runs one step of the core, timed if there is an observer.
     pub(super) fn step(&self, input: Input<Rc<Job>>) -> Vec<Effect<Rc<Job>>> {
         let now = self.clock.now();
         let Some(observer) = self.observer() else { return self.core.borrow_mut().step(now, input) };
--- a/node/src/runtime/reporting.rs
+++ b/node/src/runtime/reporting.rs
@@ -1,5 +1,5 @@
-//! What the runtime tells of itself: names, keys, figures, the log's lines on inputs and its summary. It must never change
-//! anything but figures.
+//! Read access to the core's tables, keys and counters, the log lines on inputs, and the runner metrics.
+//! Changes nothing but metrics.
 
 use super::Runtime;
 use crate::core::{Arrival, AttemptId, Core, Input, Key, Tally};
@@ -11,20 +11,20 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A line for the log on what is about to be handed to the core.
+/// Logs an input that is about to be passed to the core.
 pub(super) fn log_input(input: &Input<Rc<Job>>) {
     match input {
         Input::Arrived(arrival) => {
             let Arrival { id, job, ticket, .. } = arrival;
             log::debug!("request {id} of class {}, ticket {}", job.class, ticket.0);
         }
-        Input::AttemptEnded(AttemptId { request, number }, ending) => {
-            log::debug!("attempt {request}.{number} ended: {:?}", ending.outcome);
+        Input::AttemptEnded(AttemptId { request, number }, end) => {
+            log::debug!("attempt {request}.{number} ended: {:?}", end.outcome);
         }
-        Input::Finished { id, from, end: ending } => {
-            let said = ending.report.unwrap_or_default();
-            let (errors, inflight) = (said.errors_per_s, said.inflight);
-            log::debug!(errors:?, inflight:?; "runner {from} ended {id}: {:?}", ending.outcome);
+        Input::Finished { id, from, end } => {
+            let report = end.report.unwrap_or_default();
+            let (errors, inflight) = (report.errors_per_s, report.inflight);
+            log::debug!(errors:?, inflight:?; "runner {from} ended {id}: {:?}", end.outcome);
         }
         Input::Started { id, from } => log::debug!("runner {from} started {id}"),
         _ => {}
@@ -37,57 +37,57 @@
         read(self.core.borrow().tables())
     }
 
-    /// Reads the number and the terms of a class that clients may name now.
+    /// Reads the number and the settings of a class that clients may name now.
     pub fn with_class<T>(&self, name: &str, read: impl FnOnce(u32, &sr::Class) -> T) -> Option<T> {
         let core = self.core.borrow();
         core.class(self.clock.now(), name).map(|(number, class)| read(number, class))
     }
 
-    /// The tenant that a client names, if it names a known one.
+    /// Returns the number of the tenant that a client names, if it is a known one.
     ///
     /// # Errors
     ///
-    /// It must name one and does not.
+    /// A tenant is required, and the client names none or an unknown one.
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, ()> {
         let core = self.core.borrow();
         let tenant = name.and_then(|name| core.tables().tenants.get(name));
         if core.requires_tenant() && tenant.is_none() { Err(()) } else { Ok(tenant) }
     }
 
-    /// Whether clients are asked to come here: not while there is no list yet, since all would be refused, but
-    /// for no longer than a while, since others may have none either.
+    /// Whether clients should be sent to this dispatcher. False while there is no runner list, since every
+    /// request would be refused; but only for a limited time, since other dispatchers may have none either.
     pub fn accepts_clients(&self) -> bool {
-        let told = self.list_source.borrow().as_ref().is_some_and(|roster| roster.has_list());
-        told || self.clock.age() >= self.limits.admit_without_list_after
+        let has_list = self.list_source.borrow().as_ref().is_some_and(|source| source.has_list());
+        has_list || self.clock.age() >= self.limits.admit_without_list_after
     }
 
-    /// Whether an attempt may go out now.
+    /// Whether an attempt may begin now.
     pub fn may_begin(&self, attempt: AttemptId) -> bool {
         self.core.borrow().may_begin(self.clock.now(), attempt)
     }
 
-    /// Whether a request of this id is here.
+    /// Whether a request with this id is present.
     pub fn knows(&self, id: &str) -> bool {
         self.core.borrow().knows(id)
     }
 
-    /// Reads from the keys that the core keeps, if it keeps any.
+    /// Reads from the key store, if keys are enabled.
     pub fn with_keys<T>(&self, read: impl FnOnce(&Core<Rc<Job>>, &keys::Store) -> T) -> Option<T> {
         let core = self.core.borrow();
         core.keys().map(|store| read(&core, store))
     }
 
-    /// A job's key, where keys are kept for its class: what it stands for is the job's path, query and
-    /// body. Costs nothing where none are kept.
+    /// Returns a job's idempotency key, with a fingerprint of the job's path, query and body, if keys are
+    /// used for its class. Computes nothing otherwise.
     pub fn key_of(&self, class: u32, job: &Job) -> Option<Key> {
         let text = job.key.as_deref().filter(|_| self.core.borrow().wants_key(class))?;
         let digest = Sha256::new().chain_update(&job.target).chain_update([0]).chain_update(&job.body);
         let digest: [u8; 32] = digest.finalize().into();
-        let print = keys::Fingerprint(std::array::from_fn(|n| digest[n]));
-        Some(Key { text: text.into(), fingerprint: print })
+        let fingerprint = keys::Fingerprint(std::array::from_fn(|n| digest[n]));
+        Some(Key { text: text.into(), fingerprint })
     }
 
-    /// Brings the figures on runners up to date: what the module avoids changes with time alone too.
+    /// Updates the runner metrics. The set of avoided runners can also change without an input, over time.
     pub fn update_runner_metrics(&self) {
         let (listed, avoided) = self.core.borrow().runner_counts();
         Metrics::set(&self.metrics.cluster_size, listed);
@@ -95,17 +95,17 @@
         self.runners_counted_at.set(Instant::now());
     }
 
-    /// The runners taken out by hand, by name.
+    /// The names of the disabled runners.
     pub fn disabled_runners(&self) -> std::collections::BTreeSet<String> {
         self.core.borrow().disabled_runners().map(str::to_owned).collect()
     }
 
-    /// What has been counted so far.
+    /// The counters since the start.
     pub fn tally(&self) -> Tally {
         self.core.borrow().tally()
     }
 
-    /// A line for the log on what has been done so far.
+    /// The summary line for the log.
     pub fn summary(&self) -> String {
         let core = self.core.borrow();
         let t = core.tally();
--- a/node/src/runtime/tickets.rs
+++ b/node/src/runtime/tickets.rs
@@ -1,5 +1,4 @@
-//! Who waits for which answer. It owns the tickets' table and the counters of their classes, and must
-//! never decide an answer.
+//! Tickets: the clients that wait for an answer, and the metrics of their classes.
 
 use super::{Runtime, Ticket};
 use crate::core::{Answer, Input};
@@ -8,7 +7,7 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// A client that waits for its answer; once dropped without it, the client has gone away.
+/// Represents a waiting client. Dropping it before the answer means that the client has disconnected.
 pub struct ClientGuard {
     runtime: Rc<Runtime>,
     ticket: Ticket,
@@ -26,18 +25,18 @@
     }
 }
 
-/// Who waits for a ticket's answer, and the counters of its class.
+/// The channel for a ticket's answer, and the counters of its class.
 pub(super) type Waiter = (oneshot::Sender<Answer>, Arc<ClassMetrics>);
 
 impl Runtime {
-    /// A ticket for a new request of a class, and where its answer will arrive.
+    /// Creates a ticket for a new request of a class, and the channel on which its answer arrives.
     pub fn ticket(&self, class: u32) -> (Ticket, oneshot::Receiver<Answer>) {
         self.last_ticket.set(self.last_ticket.get() + 1);
         let ticket = Ticket(self.last_ticket.get());
-        let (send, receive) = oneshot::channel();
-        let figures = self.class_metrics(class);
-        self.waiters.borrow_mut().insert(ticket, (send, figures));
-        (ticket, receive)
+        let (sender, receiver) = oneshot::channel();
+        let metrics = self.class_metrics(class);
+        self.waiters.borrow_mut().insert(ticket, (sender, metrics));
+        (ticket, receiver)
     }
 
     fn class_metrics(&self, class: u32) -> Arc<ClassMetrics> {
@@ -49,7 +48,7 @@
         classes[class as usize].clone()
     }
 
-    /// Shows the figures of every class from now on, those without a job yet too.
+    /// Registers the metrics of every class, so that classes without a job are shown too.
     pub fn register_classes(&self) {
         let all = self.with_tables(|tables| tables.classes.all().len());
         if let Some(last) = all.checked_sub(1) {
@@ -57,7 +56,7 @@
         }
     }
 
-    /// The client of a ticket has left; nothing happens if it was answered.
+    /// Handles a client's disconnection. Does nothing if its ticket is already answered.
     pub fn client_gone(&self, ticket: Ticket) {
         if self.waiters.borrow_mut().remove(&ticket).is_some() {
             log::debug!("a client has left, ticket {}", ticket.0);
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -1,16 +1,16 @@
-//! From the settings object to the module's settings and the tables. It owns what each key means there, and
-//! names what makes no sense. It must never read a file, mend a value, nor decide what the module should.
+//! Converts the settings object to the balancer's settings and the name tables. An invalid value is an error
+//! that names its key; values are never corrected.
 
 use crate::env::{Env, Rules};
 use crate::tables::{Field, NameTable, Tables};
 use sablerun as sr;
 
 impl Env {
-    /// The module's settings and the name tables.
+    /// Converts to the balancer's settings and the name tables.
     ///
     /// # Errors
     ///
-    /// Names the setting that makes no sense.
+    /// Names the invalid setting.
     pub fn to_settings(&self) -> Result<(sr::Settings, Tables), String> {
         let env = self;
         let mut zones = NameTable::of(&env.failure_domains);
@@ -73,12 +73,13 @@
             max_hold_off: sr::Span(if env.limits.retry_after { env.limits.max_retry_after } else { 0 }),
             drain_grace: sr::Span(env.rules.drain_grace),
             ask_within,
-            // Figures of the protocol, which no setting carries.
+            // Constants of the protocol, which no setting carries.
             told_within,
             saved_within,
             failed_calls_renew,
             report_age,
-            // Without a watch it may be less: the list holds for the time between two calls, less some room.
+            // Without a watch it may be shorter: the list is valid for the time between two calls, less a
+            // margin of 200 ms.
             lost_within: lost_within.min(sr::Span(ask_within.0.saturating_sub(200_000_000))),
             drain_binds_alone: env.rules.drain_binds_alone,
             cold_from: env.rules.cold_from,
@@ -105,12 +106,12 @@
         let fields = fields.collect();
         let classes = NameTable::of(env.services.iter().map(|service| &service.name));
         let tenants = NameTable::of(env.projects.iter().map(|project| &project.name));
-        // Numbers are places in these lists: a name twice would shift all that follow.
-        for (what, named, listed) in
+        // Numbers are indexes into these lists: a duplicate name would shift all later ones.
+        for (key, table, count) in
             [("services", &classes, env.services.len()), ("projects", &tenants, env.projects.len())]
         {
-            if named.all().len() < listed {
-                return Err(format!("{what}: a name stands twice"));
+            if table.all().len() < count {
+                return Err(format!("{key}: a name stands twice"));
             }
         }
         let tables = Tables { workers: NameTable::default(), zones, kinds, classes, tenants, fields };
@@ -122,8 +123,8 @@
     }
 }
 
-/// The key that stands for a setting of the module, where it goes by another name: who must mend the file
-/// looks for that.
+/// Returns the key in the file for a setting of the balancer, if it differs from the setting's own name, so
+/// that errors name the key that must be corrected.
 fn settings_key(setting: &str) -> Option<&'static str> {
     Some(match setting {
         "dispatchers" => "balancers",
@@ -160,7 +161,7 @@
     })
 }
 
-/// The budget of further attempts: all three settings or none.
+/// The budget of further attempts: either all three settings are given or none.
 fn budget(rules: &Rules) -> Result<Option<sr::Budget>, String> {
     match (rules.extra_floor, rules.repeat_ratio, rules.look_back) {
         (None, None, None) => Ok(None),
--- a/settings/src/env.rs
+++ b/settings/src/env.rs
@@ -1,7 +1,7 @@
-//! The settings object as the wire gives it. It owns the names and the defaults of its keys. It must never
-//! judge a value: what follows from one stands in [`Env::to_settings`].
+//! The settings object as it is on the wire: the names and the defaults of its keys. Values are checked in
+//! [`Env::to_settings`].
 
-/// The settings as the wire gives them; keys that are not named here are ignored.
+/// The settings as they are on the wire. Unknown keys are ignored.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Env {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,9 +1,8 @@
-//! The settings object that a dispatcher receives, as JSON, and what follows from it: the module's
-//! [`Settings`](sablerun::Settings) and the tables that turn names into ids and back. The adapter reads
-//! the object from the simulator's first message and the real program from its configuration, so
-//! this crate owns its form and must never read a clock, a file or a socket, nor decide anything.
+//! The settings object that a dispatcher receives as JSON, and its conversion to the balancer's
+//! [`Settings`](sablerun::Settings) and to the tables that map names to ids and back. The adapter reads the
+//! object from the simulator's first message, the real program from its configuration. Contains no I/O.
 
-#![allow(missing_docs, reason = "the fields are the settings' own; the operators' pages explain them")]
+#![allow(missing_docs, reason = "fields are named after the settings; the operators' pages explain them")]
 
 mod convert;
 mod env;
--- a/settings/src/tables.rs
+++ b/settings/src/tables.rs
@@ -1,10 +1,10 @@
-//! Names and their numbers, and what a load report's fields mean. It owns the tables that a dispatcher keeps
-//! for that. A number once given must never change or stand for another name.
+//! Tables that map names to numbers and back, and the meaning of a load report's fields. A number, once
+//! assigned, never changes and never refers to another name.
 
 use sablerun as sr;
 use std::collections::HashMap;
 
-/// Names in the order in which they were first met.
+/// Interned names, numbered in the order in which they were first seen.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     pub(crate) numbers: HashMap<String, u32>,
@@ -13,7 +13,7 @@
 }
 
 impl NameTable {
-    /// A table of these names.
+    /// Creates a table of these names.
     pub fn of<'a>(names: impl IntoIterator<Item = &'a String>) -> NameTable {
         let mut all = NameTable::default();
         for name in names {
@@ -22,7 +22,7 @@
         all
     }
 
-    /// The number of a name; a new one for a new name.
+    /// Returns the number of a name, and assigns one to a new name.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -34,12 +34,12 @@
         number
     }
 
-    /// The number of a name that is known.
+    /// The number of a known name.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// The name behind a number.
+    /// The name with this number.
     pub fn name(&self, number: u32) -> &str {
         &self.names[number as usize]
     }
@@ -49,13 +49,13 @@
         &self.names
     }
 
-    /// The name behind a number, as JSON text.
+    /// The name with this number, as a JSON string.
     pub fn quoted(&self, number: u32) -> &str {
         &self.quoted[number as usize]
     }
 }
 
-/// Where a value of a load report goes.
+/// The meaning of a field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
     Inflight,
@@ -67,7 +67,7 @@
 }
 
 impl Field {
-    /// Puts a value where it belongs; what is no figure (`NaN`, infinite, below zero) is not told.
+    /// Sets the report's field to a value. An invalid value (`NaN`, infinite, negative) counts as absent.
     pub fn set(self, report: &mut sr::Report, value: Option<f64>) {
         let value = value.filter(|value| value.is_finite() && *value >= 0.0);
         match self {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The tables that turn names into the module's ids, and the meaning of a report's fields.
+/// The tables that map names to the balancer's ids, and the meaning of a report's fields.
 #[derive(Clone, Debug)]
 pub struct Tables {
     pub workers: NameTable,
@@ -94,7 +94,7 @@
 }
 
 impl Tables {
-    /// A report given as a row of values in the settings' order.
+    /// Creates a report from a row of values in the settings' order.
     pub fn report(&self, row: Vec<Option<f64>>) -> sr::Report {
         let mut report = sr::Report::default();
         for ((_, field), value) in self.fields.iter().zip(row) {
@@ -103,8 +103,8 @@
         report
     }
 
-    /// A report given as named values. On sockets some fields go by a shorter name than in the
-    /// settings: both are understood.
+    /// Creates a report from named values. On sockets some fields have a shorter name than in the settings;
+    /// both are accepted.
     pub fn named_report<'a>(&self, values: impl IntoIterator<Item = (&'a str, f64)>) -> sr::Report {
         let mut report = sr::Report::default();
         for (name, value) in values {
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -1,13 +1,12 @@
-//! What an odd settings object leads to: each one is either served, and then a request is played against it,
-//! or turned down with an error that names the key. It owns the table of oddities; it must never take a
-//! panic, or an error that names no key, for an answer.
+//! Unusual and invalid settings objects: each is either accepted, and then requests are run against it, or
+//! rejected with an error that names the key. A panic, or an error that names no key, fails the test.
 
 use sablerun::*;
 use sablerun_settings::{Env, Tables};
 use serde_json::{Value, json};
 
-/// A sound object with a class of each effect, two tenants and a price for each thing.
-fn sound() -> Value {
+/// A valid object with a class of each effect, two tenants and prices.
+fn valid_object() -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "objective": 200_000_000, "deadline": 5_000_000_000u64, "importance": 1,
                "repeat": repeat, "window": 2_000_000_000})
@@ -24,9 +23,9 @@
     })
 }
 
-/// The sound object with the value at a pointer changed, or taken out by `null`.
+/// The valid object with the value at a JSON pointer replaced, or removed if the value is `null`.
 fn with(pointer: &str, value: Value) -> Value {
-    let mut env = sound();
+    let mut env = valid_object();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let parent = env.pointer_mut(parent).expect("it is there");
     match (parent, value) {
@@ -36,26 +35,26 @@
     env
 }
 
-/// Reads and settles an object, as text, as the program does.
-fn settle(text: &str) -> Result<(Settings, Tables), String> {
+/// Parses and converts an object from text, as the program does.
+fn parse(text: &str) -> Result<(Settings, Tables), String> {
     let mut json = serde_json::Deserializer::from_str(text);
     let env: Result<Env, _> = serde_path_to_error::deserialize(&mut json);
     env.map_err(|e| format!("{}: {}", e.path(), e.inner()))?.to_settings()
 }
 
-/// A dispatcher with such settings and a worker in the south that has just started.
-struct Played {
+/// A dispatcher with these settings and two workers in the south, one of which has just started.
+struct World {
     balancer: Balancer,
     now: Time,
     tables: Tables,
 }
 
-impl Played {
-    fn new((settings, mut tables): (Settings, Tables)) -> Played {
+impl World {
+    fn new((settings, mut tables): (Settings, Tables)) -> World {
         let zone = ZoneId(tables.zones.intern("south"));
         let now = Time(5_000_000_000);
-        let balancer = Balancer::new(settings, 7, now).expect("settled settings are sound");
-        let mut played = Played { balancer, now, tables };
+        let balancer = Balancer::new(settings, 7, now).expect("converted settings are valid");
+        let mut world = World { balancer, now, tables };
         let entries = (0..2).map(|n| ListEntry {
             worker: WorkerId(n),
             zone,
@@ -65,19 +64,19 @@
             size: 1.0,
             up_since: (n == 1).then_some(now),
         });
-        played.tell(Event::List(ListKind::Full, entries.collect()));
-        played
+        world.notify(Event::List(ListKind::Full, entries.collect()));
+        world
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn notify(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Whether a request of this class is sent at once, or its repeat after one that broke.
-    fn asks(&mut self, request: u32, class: u32, tenant: Option<u32>) -> bool {
-        let sent = self.tell(Event::Arrival(Arrival {
+    /// Whether a request of this class is sent at once.
+    fn is_sent(&mut self, request: u32, class: u32, tenant: Option<u32>) -> bool {
+        let sent = self.notify(Event::Arrival(Arrival {
             request: RequestId(request),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
@@ -91,16 +90,22 @@
         sent.iter().any(|action| matches!(action, Action::Send(..)))
     }
 
-    fn ends(&mut self, request: u32, attempt: u32, outcome: Outcome, report: Option<Report>) -> Vec<Action> {
+    fn end_attempt(
+        &mut self,
+        request: u32,
+        attempt: u32,
+        outcome: Outcome,
+        report: Option<Report>,
+    ) -> Vec<Action> {
         let (request, closed) = (RequestId(request), outcome == Outcome::Ok);
-        self.tell(Event::Noted(request, attempt, Note::Started));
+        self.notify(Event::Noted(request, attempt, Note::Started));
         self.now = self.now + Span(20_000_000);
-        self.tell(Event::Ended { request, attempt, outcome, closed, report })
+        self.notify(Event::Ended { request, attempt, outcome, closed, report })
     }
 }
 
 #[test]
-fn what_can_be_served_is() {
+fn unusual_but_valid_settings_are_accepted() {
     let most = u64::MAX;
     for (pointer, value) in [
         ("/reporting/fields", Value::Null),
@@ -129,23 +134,23 @@
         ("/prices", Value::Null),
     ] {
         let text = with(pointer, value.clone()).to_string();
-        let settled = settle(&text).unwrap_or_else(|e| panic!("{pointer} {value}: {e}"));
-        let mut played = Played::new(settled);
-        // Each class and tenant, a tenant that nobody has named, and none.
+        let converted = parse(&text).unwrap_or_else(|e| panic!("{pointer} {value}: {e}"));
+        let mut world = World::new(converted);
+        // Each class and tenant, a tenant that the settings do not name, and none.
         for (n, tenant) in [Some(0), Some(1), Some(99), None].into_iter().enumerate() {
             for class in 0..3 {
                 let request = n as u32 * 3 + class;
-                assert!(played.asks(request, class, tenant), "{pointer} {value}: {class} of {tenant:?}");
-                let row = vec![Some(1.0); played.tables.fields.len()];
-                let report = played.tables.report(row);
-                played.ends(request, 0, Outcome::Ok, Some(report));
+                assert!(world.is_sent(request, class, tenant), "{pointer} {value}: {class} of {tenant:?}");
+                let row = vec![Some(1.0); world.tables.fields.len()];
+                let report = world.tables.report(row);
+                world.end_attempt(request, 0, Outcome::Ok, Some(report));
             }
         }
     }
 }
 
 #[test]
-fn what_makes_no_sense_is_turned_down_by_the_name_of_its_key() {
+fn invalid_settings_are_rejected_with_the_name_of_the_key() {
     let most = u64::MAX;
     for (pointer, value, key) in [
         ("/balancers", json!(0), "balancers"),
@@ -179,33 +184,35 @@
         ("/overShareWorth", json!(2), "overShareWorth"),
         ("/prices/crossZone", json!(-1), "prices.crossZone"),
     ] {
-        let error = settle(&with(pointer, value.clone()).to_string()).err();
+        let error = parse(&with(pointer, value.clone()).to_string()).err();
         let error = error.unwrap_or_else(|| panic!("{pointer} {value} is taken"));
         assert!(error.contains(key), "{pointer} {value}: {error}");
     }
-    // JSON has no word for what is not a number, and what is too large for one is not taken for infinite.
+    // JSON has no literal for NaN or infinity, and a number that is too large must not be read as infinite.
     for word in ["NaN", "Infinity", "1e999"] {
-        let text = sound().to_string().replacen("\"quotaPerS\":10", &format!("\"quotaPerS\":{word}"), 1);
-        let error = settle(&text).err().unwrap_or_else(|| panic!("a quota of {word} is taken"));
+        let text =
+            valid_object().to_string().replacen("\"quotaPerS\":10", &format!("\"quotaPerS\":{word}"), 1);
+        let error = parse(&text).err().unwrap_or_else(|| panic!("a quota of {word} is taken"));
         assert!(error.contains("quotaPerS"), "{word}: {error}");
     }
-    // A host that fills the settings in by itself may hold one.
+    // A host that creates the settings directly may pass such values.
     for quota_per_s in [f64::NAN, f64::INFINITY, -0.5] {
-        let (settings, _) = settle(&sound().to_string()).expect("it is sound");
+        let (settings, _) = parse(&valid_object().to_string()).expect("it is valid");
         let settings = Settings { tenants: vec![Tenant { quota_per_s }], ..settings };
         let error = Balancer::new(settings, 7, Time(0)).err();
         assert_eq!(error, Some(SettingsError("tenants.quota_per_s")), "{quota_per_s}");
     }
 }
 
-/// Nobody promises to drop repeats for any time: what may have run is never sent again, as if unsafe.
+/// Without a window the runners do not deduplicate for any time, so a request that may have run must not be
+/// sent again, as in an unsafe class.
 #[test]
 fn a_keyed_class_without_a_window_is_never_repeated() {
     let repeats = |window: Value| {
-        let mut played =
-            Played::new(settle(&with("/services/2/window", window).to_string()).expect("it is served"));
-        assert!(played.asks(0, 2, None));
-        let after = played.ends(0, 0, Outcome::Error, None);
+        let mut world =
+            World::new(parse(&with("/services/2/window", window).to_string()).expect("it is served"));
+        assert!(world.is_sent(0, 2, None));
+        let after = world.end_attempt(0, 0, Outcome::Error, None);
         after.iter().any(|action| matches!(action, Action::Send(..)))
     };
     assert!(repeats(json!(2_000_000_000)), "the window makes the difference");
--- a/settings/tests/reconcile.rs
+++ b/settings/tests/reconcile.rs
@@ -1,5 +1,5 @@
-//! New settings brought in line with those in force: which numbers classes and tenants keep. It owns the
-//! rule that a number stands for the same terms for as long as the program runs.
+//! Reconciling new settings with those in force: a number refers to the same class settings, and to the same
+//! tenant, for as long as the program runs.
 
 use sablerun as sr;
 use sablerun_settings::{Env, reconcile};
@@ -21,27 +21,27 @@
 }
 
 #[test]
-fn a_class_keeps_its_number_until_its_terms_change_and_has_it_back_with_them() {
+fn a_class_keeps_its_number_until_its_settings_change_and_regains_it_when_they_return() {
     let (pick, bin, wave) = (class("pick", "retryable"), class("bin", "retryable"), class("wave", "dedup"));
     let member = |name: &str, quota: u32| format!(r#"{{"name":"{name}","quotaPerS":{quota}}}"#);
     let first = env(&format!("{pick},{bin}"), &format!("{},{}", member("m", 5), member("n", 6)));
     let (settings, mut tables) = first.to_settings().unwrap();
-    // `pick` goes, `wave` comes, `bin` becomes stricter; `m` goes and `o` comes before `n`.
+    // Removes `pick`, adds `wave`, makes `bin` stricter; removes `m` and adds `o` before `n`.
     let strict = class("bin", "fragile");
     let second = env(&format!("{wave},{strict}"), &format!("{},{}", member("o", 7), member("n", 8)));
     let (new, names) = second.to_settings().unwrap();
-    let renewed = reconcile(&settings, &mut tables, new, &names);
-    assert_eq!(renewed.classes, [2, 3]);
-    let effects: Vec<_> = renewed.settings.classes.iter().map(|class| class.effect).collect();
+    let reconciled = reconcile(&settings, &mut tables, new, &names);
+    assert_eq!(reconciled.classes, [2, 3]);
+    let effects: Vec<_> = reconciled.settings.classes.iter().map(|class| class.effect).collect();
     let keyed = sr::Effect::Keyed(sr::Group::All);
     assert_eq!(effects, [sr::Effect::Safe, sr::Effect::Safe, keyed, sr::Effect::Unsafe]);
     assert_eq!((tables.classes.get("bin"), tables.classes.name(1)), (Some(3), "bin"));
-    let quotas: Vec<_> = renewed.settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
+    let quotas: Vec<_> = reconciled.settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!((quotas, tables.tenants.get("n")), (vec![0.0, 8.0, 7.0], Some(1)));
-    assert_eq!(renewed.settings.zone, settings.zone);
-    // Back to the first: the old numbers again, and nothing grows.
+    assert_eq!(reconciled.settings.zone, settings.zone);
+    // Back to the first settings: the old numbers are restored, and the tables do not grow.
     let (new, names) = first.to_settings().unwrap();
-    let renewed = reconcile(&renewed.settings, &mut tables, new, &names);
-    assert_eq!((renewed.classes, renewed.settings.classes.len()), (vec![0, 1], 4));
+    let reconciled = reconcile(&reconciled.settings, &mut tables, new, &names);
+    assert_eq!((reconciled.classes, reconciled.settings.classes.len()), (vec![0, 1], 4));
     assert_eq!((tables.classes.get("bin"), tables.classes.all().len()), (Some(1), 4));
 }
--- a/settings/tests/reports.rs
+++ b/settings/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What a load report's figures become. It owns the spoilt ones; it must never know how a report is written.
+//! Invalid values in load reports.
 
 use sablerun_settings::{Field, NameTable, Tables};
 
@@ -14,16 +14,16 @@
     }
 }
 
-/// One figure that is none must not spoil what is reckoned from the others, now or later.
+/// An invalid value must not distort what is computed from the other values, now or later.
 #[test]
-fn what_is_no_figure_is_not_told() {
+fn invalid_values_count_as_not_reported() {
     let tables = tables();
-    for odd in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0] {
-        let row = tables.report(vec![Some(odd), Some(20.0), Some(odd)]);
-        let named = tables.named_report([("inflight", odd), ("latency_ms", 20.0), ("eps", odd)]);
+    for invalid in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0] {
+        let row = tables.report(vec![Some(invalid), Some(20.0), Some(invalid)]);
+        let named = tables.named_report([("inflight", invalid), ("latency_ms", 20.0), ("eps", invalid)]);
         for report in [row, named] {
-            assert_eq!((report.inflight, report.errors_per_s), (None, None), "{odd}");
-            assert_eq!(report.latency.map(|latency| latency.0), Some(20_000_000), "{odd}");
+            assert_eq!((report.inflight, report.errors_per_s), (None, None), "{invalid}");
+            assert_eq!(report.latency.map(|latency| latency.0), Some(20_000_000), "{invalid}");
         }
     }
 }
