--- a/node/src/assembly.rs
+++ b/node/src/assembly.rs
@@ -1,6 +1,5 @@
-//! How a dispatcher's parts are put together on the platform's side: reducer, clock, links, discovery and
-//! front. It owns what holds which and the order in which they begin; it must never read a file or the
-//! environment, nor add a part that the configuration does not call for.
+//! Assembles a dispatcher: core, clock, links, discovery and the platform's front, in the order in which they
+//! start. Reads neither files nor the environment.
 
 use crate::config::Config;
 use crate::core::{Core, Input, Source};
@@ -16,11 +15,11 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// The runtime round a core with these settings, and with the clients' keys where they are kept.
+/// Builds the runtime and its core from these settings, with a key store if keys are enabled.
 ///
 /// # Errors
 ///
-/// Names the setting that makes no sense.
+/// Names the invalid setting.
 pub fn build_runtime(
     config: &Config,
     (settings, tables): (sr::Settings, Tables),
@@ -29,36 +28,36 @@
     store: Option<keys::Store>,
 ) -> Result<Rc<Runtime>, String> {
     let seed = config.seed()?;
-    let promised = settings.clone();
+    let deadlines = settings.clone();
     let mut core = Core::new(settings, tables, config.discovery, seed, clock.now(), limits.max_open)
         .map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
     if let Some(store) = store {
         core.set_key_store(store);
     }
     let runtime = Runtime::new(core, clock, limits);
-    runtime.update_longest_deadline(&promised);
+    runtime.update_longest_deadline(&deadlines);
     runtime.register_classes();
     Ok(runtime)
 }
 
-/// Gives a runtime its way to the platform's runners, and to discovery.
+/// Connects a runtime to the platform's runners and to discovery.
 pub fn connect(runtime: &Rc<Runtime>) -> (Rc<RunnerLink>, Rc<DiscoveryClient>) {
     let runners = RunnerLink::new(runtime);
     runtime.add_link(runners.clone());
-    let roster = DiscoveryClient::new(runtime, &runners);
-    runtime.set_list_source(roster.clone());
-    (runners, roster)
+    let discovery = DiscoveryClient::new(runtime, &runners);
+    runtime.set_list_source(discovery.clone());
+    (runners, discovery)
 }
 
-/// Begins: asks for the list, keeps time and serves whoever comes to the listener.
+/// Starts the dispatcher: requests the runner list, runs the timers and serves the listener.
 pub fn start(
     runtime: &Rc<Runtime>,
-    roster: &DiscoveryClient,
+    discovery: &DiscoveryClient,
     known: Option<Hosts>,
     listener: TcpListener,
 ) -> Rc<Front> {
     match known {
-        Some(known) => roster.apply_list(sr::ListKind::Saved, known),
+        Some(known) => discovery.apply_list(sr::ListKind::Saved, known),
         None => runtime.feed(Input::List(Source::Discovery, sr::ListKind::Saved, Vec::new())),
     }
     let timer = runtime.clone();
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -1,6 +1,4 @@
-//! The command line: what the program can be told to do, and the two commands that only look, `check`
-//! and `keys`. It owns the arguments, their help and the exit codes. It must never open a socket or
-//! change a file.
+//! The command line: arguments, help and exit codes, and the read-only commands `check` and `keys`.
 
 use crate::operator::Operator;
 use crate::runtime::unix_now;
@@ -20,7 +18,7 @@
   sablerun keys /var/lib/sablerun/keys.snapshot --json
   sablerun jobs verify /var/lib/sablerun/jobs
 
-Exit codes: 0 done, 1 it could not be done (one line says why), 2 the command line makes no sense.";
+Exit codes: 0 done, 1 it could not be done (one line says why), 2 the command line is invalid.";
 
 /// A dispatcher: takes jobs from clients, sends each to a runner, gives each one final answer.
 #[derive(Debug, Parser)]
@@ -36,19 +34,19 @@
 pub enum Command {
     /// Run the dispatcher (the default when no command is given).
     Run(Run),
-    /// Check the settings ($NODE_CONFIG) and the operator's file, and end.
+    /// Check the settings ($NODE_CONFIG) and the operator's file, and exit.
     Check(Check),
-    /// Publish a load digest for many dispatchers: on a control machine, where the installation has one.
+    /// Publish a load digest for many dispatchers, on a control machine, if the installation has one.
     Digest(Digest),
-    /// Show what a snapshot of the keys holds.
+    /// Show the contents of a snapshot of the keys.
     Keys(Keys),
-    /// Look at a store of durable jobs, and retry dead ones, while no dispatcher has it open.
+    /// Inspect a store of durable jobs, and retry dead ones, while no dispatcher has it open.
     Jobs(crate::jobs_cli::Jobs),
 }
 
 #[derive(Clone, Debug, Default, Args)]
 pub struct Run {
-    /// The operator's file (TOML): what is switched on beside the settings.
+    /// The operator's file (TOML): optional features beside the platform's settings.
     #[arg(long, short, value_name = "FILE", visible_alias = "gateway")]
     pub config: Option<PathBuf>,
     /// The form of the log on standard error; RUST_LOG sets its level.
@@ -86,7 +84,7 @@
     /// Only this class's keys.
     #[arg(long)]
     pub class: Option<String>,
-    /// List so many keys, the newest first.
+    /// List at most N keys, the newest first.
     #[arg(long, default_value_t = 20, value_name = "N")]
     pub most: usize,
     /// Print one JSON object.
@@ -103,7 +101,7 @@
     Json,
 }
 
-/// Prints what `check` found good: the sections that are on.
+/// Prints the result of a successful `check`: the sections that are on.
 pub fn check(file: Option<(&Path, &Operator)>, json: bool) -> Result<(), String> {
     let mut out = io::stdout().lock();
     let (path, sections) = match file {
@@ -123,7 +121,7 @@
     ignore_broken_pipe(written)
 }
 
-/// Prints what a snapshot holds.
+/// Prints the contents of a snapshot.
 pub fn keys(args: &Keys) -> Result<(), String> {
     let bytes = std::fs::read(&args.file).map_err(|e| format!("{}: {e}", args.file.display()))?;
     let snapshot = Snapshot::decode(&bytes).map_err(|e| {
@@ -152,7 +150,7 @@
             }
             Resolution::NeverRan => ("never ran", None, 0),
         };
-        // Keys may hold anything; a terminal must not.
+        // Keys may hold arbitrary bytes: control characters must not reach the terminal.
         let key = String::from_utf8_lossy(&record.key).escape_debug().to_string();
         (member_of(record.member), class_of(record.class), state, zone, bytes, age(record.resolved_at), key)
     });
@@ -188,7 +186,7 @@
     ignore_broken_pipe(write())
 }
 
-/// A reader that has seen enough (`| head`) is no error.
+/// Ignores a closed pipe on standard output, as with `| head`.
 pub fn ignore_broken_pipe(written: io::Result<()>) -> Result<(), String> {
     match written {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(format!("standard output: {e}")),
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,6 +1,5 @@
-//! What the platform tells the program, in `$NODE_CONFIG`: read at the start, and anew at SIGHUP. It owns the
-//! form of that file and which of it holds from the start to the end. It must never put a part of a
-//! file to use that makes no sense as a whole.
+//! The platform's configuration in `$NODE_CONFIG`: read at the start, and again on SIGHUP. An invalid file is
+//! rejected as a whole.
 
 use crate::core::Input;
 use crate::metrics::Metrics;
@@ -12,7 +11,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What `$NODE_CONFIG` holds.
+/// The contents of `$NODE_CONFIG`.
 #[derive(serde::Deserialize)]
 pub struct Config {
     pub name: String,
@@ -22,19 +21,19 @@
     pub limits: Machine,
     #[serde(default)]
     pub known: Option<hosts::Hosts>,
-    /// The operators' door, where there is one; `$NODE_ADMIN_ADDR` stands before it.
+    /// The address of the admin socket, if there is one. `$NODE_ADMIN_ADDR` overrides it.
     #[serde(default)]
     pub admin_addr: Option<SocketAddr>,
     pub settings: Env,
 }
 
 impl Config {
-    /// The settings as the module takes them, and the tables of their names. Where lists are pushed, the
-    /// sockets' protocol has them come over a watch on the machine's own agent, which must be opened.
+    /// Converts to the balancer's settings and the name tables. If runner lists are pushed, they come over a
+    /// watch on the machine's own agent, which must be opened.
     ///
     /// # Errors
     ///
-    /// Names the setting that makes no sense.
+    /// Names the invalid setting.
     pub fn to_settings(&self) -> Result<(sr::Settings, Tables), String> {
         let (mut settings, tables) =
             self.settings.to_settings().map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
@@ -44,11 +43,11 @@
         Ok((settings, tables))
     }
 
-    /// The seed of the module's draws.
+    /// The seed of the balancer's random numbers.
     ///
     /// # Errors
     ///
-    /// It is no hexadecimal number.
+    /// It is not a hexadecimal number.
     pub fn seed(&self) -> Result<u64, String> {
         u64::from_str_radix(&self.seed, 16).map_err(|e| format!("NODE_CONFIG: seed: {e}"))
     }
@@ -61,7 +60,7 @@
     pub sockets: usize,
 }
 
-/// What `$NODE_CONFIG` holds, and as it stands there.
+/// Reads `$NODE_CONFIG`, and returns it parsed and as JSON.
 pub fn read_config() -> Result<(Config, Value), String> {
     let path = std::env::var("NODE_CONFIG").map_err(|_| "NODE_CONFIG is not set".to_owned())?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))?;
@@ -72,7 +71,7 @@
     Ok((config, text))
 }
 
-/// What of the configuration holds from the start to the end, as JSON pointers.
+/// The parts of the configuration that only take effect at the start, as JSON pointers.
 const READ_AT_START: [&str; 6] = [
     "/name",
     "/listen",
@@ -82,26 +81,26 @@
     "/settings/limits/maxOpen",
 ];
 
-/// Reads the configuration anew: discovery may have moved, and new settings hold from now on. A file
-/// that makes no sense, or is half written, changes nothing.
-pub fn reload(runtime: &Runtime, text: &mut Value, kept: Option<&operator::Keys>) {
-    if let Err(e) = read_config().and_then(|read| apply_config(runtime, text, read, kept)) {
+/// Reloads the configuration: the address of discovery and the settings may have changed. An invalid or
+/// partially written file changes nothing.
+pub fn reload(runtime: &Runtime, text: &mut Value, key_config: Option<&operator::Keys>) {
+    if let Err(e) = read_config().and_then(|read| apply_config(runtime, text, read, key_config)) {
         Metrics::add(&runtime.metrics.conf_invalid);
         log::error!("configuration not read anew, the old one stays: {e}");
     }
 }
 
-/// Puts a configuration to use that was read while the program runs; `text` is the one in force as it stands
-/// in its file, and then the new one.
+/// Applies a configuration that was read while the program runs. `text` is the JSON of the configuration in
+/// force, and is replaced by the new one.
 ///
 /// # Errors
 ///
-/// Names the setting that makes no sense; nothing has changed then.
+/// Names the invalid setting; nothing has changed then.
 pub fn apply_config(
     runtime: &Runtime,
     text: &mut Value,
     (config, new): (Config, Value),
-    kept: Option<&operator::Keys>,
+    key_config: Option<&operator::Keys>,
 ) -> Result<(), String> {
     let (settings, tables) = config.to_settings()?;
     Metrics::add(&runtime.metrics.conf_loaded);
@@ -113,12 +112,12 @@
         }
     }
     if new["settings"] != text["settings"] {
-        let rules = kept.map_or_else(Vec::new, |kept| kept.rules(&settings.classes));
+        let rules = key_config.map_or_else(Vec::new, |key_config| key_config.rules(&settings.classes));
         let until = runtime.clock.now() + sr::Span(runtime.limits.removed_class_grace.as_nanos() as u64);
         let (classes, attempts) = (tables.classes.all().join(","), settings.max_attempts);
         runtime.update_longest_deadline(&settings);
-        let retune = crate::core::Reconfiguration { settings, tables, rules, until };
-        runtime.feed(Input::Reconfigure(Box::new(retune)));
+        let reconfiguration = crate::core::Reconfiguration { settings, tables, rules, until };
+        runtime.feed(Input::Reconfigure(Box::new(reconfiguration)));
         runtime.register_classes();
         log::info!(classes = classes.as_str(), attempts = attempts; "new settings are in use");
     }
--- a/node/src/disabled_file.rs
+++ b/node/src/disabled_file.rs
@@ -1,19 +1,17 @@
-//! Runners taken out by hand, kept in a file under `$TMPDIR`, which a process and the one that replaces
-//! it share: a ban holds over an upgrade, and a call at either door holds for both. It owns the file's
-//! form, one name a line, and writes it whole (a new file renamed over the old) so that a reader never
-//! sees half of it. It must never decide who is banned: the core does, from what the door or the file
-//! tells it.
+//! The file of manually disabled runners under `$TMPDIR`, one name a line. A process and its replacement
+//! share it, so that a runner stays disabled over an upgrade, and a call to either admin socket applies to
+//! both. The file is replaced by a rename, so that a reader never sees a partial one.
 
 use std::collections::BTreeSet;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file of this installation's bans.
+/// The path of the file.
 pub fn path() -> PathBuf {
     std::env::temp_dir().join("sablerun-bans")
 }
 
-/// The names in the file; none where there is no file yet.
+/// Reads the names in the file; none if there is no file yet.
 pub fn read(file: &Path) -> io::Result<BTreeSet<String>> {
     match std::fs::read_to_string(file) {
         Ok(text) => {
@@ -24,7 +22,7 @@
     }
 }
 
-/// Writes the names whole.
+/// Replaces the file with one that holds these names.
 pub fn write<'a>(file: &Path, names: impl IntoIterator<Item = &'a str>) -> io::Result<()> {
     let text: String = names.into_iter().map(|name| format!("{name}\n")).collect();
     let new = file.with_extension(format!("{}.tmp", std::process::id()));
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -1,6 +1,5 @@
-//! `sablerun jobs`: looks at a store of durable jobs while no dispatcher has it open, and changes the one
-//! thing that only an operator may: a dead job is tried again. It owns the tables and the words; what may
-//! become of a job is the ledger's to say, and every change goes through it.
+//! `sablerun jobs`: inspects a store of durable jobs while no dispatcher has it open, and lets an operator
+//! retry dead jobs. All changes go through the ledger.
 
 use crate::cli::ignore_broken_pipe;
 use crate::runtime::unix_now;
@@ -22,7 +21,7 @@
 enum JobsCommand {
     /// List jobs, the newest first.
     List(List),
-    /// List the jobs that are out of tries, with what they said last.
+    /// List the jobs that are out of tries, with their last error.
     Dead {
         /// The store's file.
         file: PathBuf,
@@ -30,14 +29,14 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show one job whole.
+    /// Show all of one job.
     Show {
         /// The store's file.
         file: PathBuf,
         /// The job's number.
         id: u64,
     },
-    /// Let dead jobs be tried again, with all their tries.
+    /// Retry dead jobs, with their full number of tries.
     Retry {
         /// The store's file.
         file: PathBuf,
@@ -50,7 +49,7 @@
         /// The store's file.
         file: PathBuf,
     },
-    /// Check the file, every record and every invariant; exits 1 if one does not hold.
+    /// Check the file, every record and every invariant; exits with 1 if one does not hold.
     Verify {
         /// The store's file.
         file: PathBuf,
@@ -64,7 +63,7 @@
 struct List {
     /// The store's file.
     file: PathBuf,
-    /// Only those that stand so.
+    /// Only jobs in this state.
     #[arg(long, value_enum)]
     state: Option<Standing>,
     /// Only this member's.
@@ -73,7 +72,7 @@
     /// Only this class's.
     #[arg(long)]
     class: Option<String>,
-    /// So many at the most.
+    /// List at most N jobs.
     #[arg(long, default_value_t = 20, value_name = "N")]
     most: usize,
     /// Print one JSON array.
@@ -112,7 +111,7 @@
     }
 }
 
-/// Does what is asked for. All text goes out as it is made: a reader may have seen enough.
+/// Runs a command. Output is written as it is produced, since the reader may close the pipe early.
 pub fn run(jobs: &Jobs) -> Result<(), String> {
     let done = match &jobs.command {
         JobsCommand::List(list) => {
@@ -157,7 +156,7 @@
         JobsCommand::Verify { file, json } => {
             let (_, loaded) = open(file)?;
             let broken = verify(&loaded);
-            let told = if *json {
+            let written = if *json {
                 writeln!(io::stdout(), "{}", json!({"jobs": loaded.jobs.len(), "broken": broken}))
             } else {
                 broken.iter().try_for_each(|what| writeln!(io::stdout(), "{what}")).and_then(|()| {
@@ -166,10 +165,10 @@
                 })
             };
             if !broken.is_empty() {
-                ignore_broken_pipe(told)?;
+                ignore_broken_pipe(written)?;
                 return Err(format!("{}: not as it should be; export what can be read", file.display()));
             }
-            told
+            written
         }
     };
     ignore_broken_pipe(done)
@@ -179,14 +178,14 @@
     format!("{id}: no such job in {}; `sablerun jobs list` shows those that there are", file.display())
 }
 
-/// Opens a store that is there: a name mistyped must not make a new one.
+/// Opens an existing store. A mistyped name must not create a new one.
 fn open(file: &Path) -> Result<(DiskStore, StoreContents), String> {
-    let told = |e: StoreError| format!("{}: {e}", file.display());
+    let with_path = |e: StoreError| format!("{}: {e}", file.display());
     if !file.is_file() {
         return Err(format!("{}: no such file", file.display()));
     }
-    let mut disk = DiskStore::open(file).map_err(told)?;
-    let loaded = disk.load().map_err(told)?;
+    let mut disk = DiskStore::open(file).map_err(with_path)?;
+    let loaded = disk.load().map_err(with_path)?;
     Ok((disk, loaded))
 }
 
@@ -198,7 +197,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A job as JSON, with all that is known of it.
+/// A job with all its fields, as JSON.
 fn job_json(loaded: &StoreContents, job: &Job) -> Value {
     let (at, result) = match &job.state {
         State::Waiting { due_at: at }
@@ -239,7 +238,7 @@
         "id", "state", "member", "class", "tries", "epoch", "age s"
     )?;
     for job in jobs {
-        // What a worker said may hold anything; a terminal must not.
+        // A worker's error may hold arbitrary text: control characters must not reach the terminal.
         let error = job.last_error.as_deref().unwrap_or("").escape_debug().to_string();
         let short: String = error.chars().take(60).collect();
         writeln!(
@@ -266,7 +265,7 @@
             return Err(format!("{id}: is {}, and only a dead job is tried again", Standing::of(job).name()));
         }
     }
-    // No lease is given and nothing is forgotten here: who opens the store next does that.
+    // Grants no leases and forgets nothing: the dispatcher that opens the store next does that.
     let rules = LedgerConfig { max_leases: 0, retention: sr::Span(u64::MAX), ..LedgerConfig::default() };
     let ledger = Ledger::load(rules, 0, unix_now(), loaded.next_id, loaded.jobs);
     let mut ledger = ledger.map_err(|e| format!("{}: {e}", file.display()))?;
@@ -278,7 +277,7 @@
     Ok(ids.len())
 }
 
-/// What does not hold, in words. That every record's checksum matches was seen when it was loaded.
+/// Returns a description of each violated invariant. The records' checksums were checked during loading.
 fn verify(loaded: &StoreContents) -> Vec<String> {
     let mut broken = Vec::new();
     for job in &loaded.jobs {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,14 +1,13 @@
-//! The dispatcher's parts, which the program `sablerun` (`main.rs`) puts together and the tests take
-//! apart: the reducer, the wires, the limits and the files an operator writes. It owns no more than
-//! their names, and must never start, stop or decide anything. It is no library for others: what is
-//! public here is so for the program and its tests.
+//! The modules of the dispatcher: the core, the wire protocols, the limits and the operators' files. This
+//! library is not meant for other projects: its items are public for the program `sablerun` (`main.rs`), the
+//! lab and the tests.
 
-#![allow(missing_docs, reason = "public for the program and its tests alone; comments stand where needed")]
+#![allow(missing_docs, reason = "public only for the program and its tests; documented where needed")]
 #![allow(
     clippy::new_without_default,
     clippy::result_unit_err,
     clippy::should_implement_trait,
-    reason = "asked of libraries for others; these parts have the program and its tests as callers"
+    reason = "these lints are for published libraries; the only callers are the program and its tests"
 )]
 
 pub mod admin_calls;
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -1,12 +1,11 @@
-//! The log: lines of text, or one JSON object a line. It owns the form of a line and its level's default.
-//! It must never decide what is logged.
+//! The log's format, as lines of text or one JSON object a line, and its default level.
 
 use crate::cli::Log;
 use log::kv::{self, Key, Value, VisitSource};
 use serde_json::{Map, json};
 use std::io::Write;
 
-/// Sets the log up; to be called once.
+/// Initializes the log. Must be called only once.
 pub fn start(form: Log) {
     let env = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
@@ -25,7 +24,7 @@
     builder.init();
 }
 
-/// A record's fields, beside the line's own, which they may not replace.
+/// Adds a record's key-value fields to a line. They can't replace the line's own fields.
 struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,5 +1,5 @@
-//! The dispatcher `sablerun`: reads what it is told, opens its sockets and runs until it is told to
-//! end. It owns the order of starting and stopping and must never decide or translate anything.
+//! The program `sablerun`: reads its configuration, opens its sockets, and runs until it is told to end.
+//! Defines the order of startup and shutdown.
 
 use clap::Parser;
 use sablerun as sr;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Serves until the program is told to end, or can't.
+/// Runs a service until it ends or fails.
 fn run_service(service: impl Future<Output = Result<(), String>>) -> ExitCode {
     match actix_rt::System::new().block_on(service) {
         Ok(()) => ExitCode::SUCCESS,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether the program would start with these settings and this operator's file.
+/// Checks whether the program would start with the current settings and this operator's file.
 fn check(args: &cli::Check) -> Result<(), String> {
     let operator = args.config.as_deref().map(|path| Ok::<_, String>((path, Operator::read(path)?)));
     let operator = operator.transpose()?;
@@ -70,7 +70,7 @@
 }
 
 async fn run(operator: Option<PathBuf>) -> Result<(), String> {
-    // First of all: from here on a SIGHUP no longer ends the program.
+    // Before anything else, so that a SIGHUP no longer ends the program.
     let mut hang_up = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
@@ -81,44 +81,46 @@
     config.seed()?;
     let machine = &config.limits;
     operator.check(&tables, machine.memory_mb).map_err(|e| format!("--config: {e}"))?;
-    let Operator { faktory: gateway, keys: kept, digest } = operator;
-    let bounds = kept.as_ref().map(|kept| kept.bounds(sr::Span::from_secs(0.25)));
+    let Operator { faktory: gateway, keys: key_config, digest } = operator;
+    let bounds = key_config.as_ref().map(|keys| keys.bounds(sr::Span::from_secs(0.25)));
     let limits = Limits::new(machine.sockets, machine.memory_mb, &config.settings, gateway.is_some());
     let limits = limits.with_keys(bounds);
-    let rules = kept.as_ref().map(|kept| kept.rules(&settings.classes));
-    let doubts: Vec<_> = kept.iter().flat_map(|k| settings.classes.iter().map(|c| k.doubt(c))).collect();
-    let snapshot_file = kept.as_ref().and_then(|kept| kept.snapshot.clone());
+    let rules = key_config.as_ref().map(|keys| keys.rules(&settings.classes));
+    let doubts: Vec<_> =
+        key_config.iter().flat_map(|k| settings.classes.iter().map(|c| k.doubt(c))).collect();
+    let snapshot_file = key_config.as_ref().and_then(|keys| keys.snapshot.clone());
     let clock = Clock::new();
     let store = limits.key_bounds.zip(rules).map(|(bounds, rules)| keys::Store::new(bounds, rules));
     let place = snapshot_file.as_ref().map(snapshots::LockedSnapshot::lock).transpose()?;
     let store = store.map(|store| snapshots::restore(store, &doubts, &tables, place.as_ref(), clock.now()));
     let runtime = assembly::build_runtime(&config, (settings, tables), clock, limits, store)?;
     if let (Some(place), Some(now)) = (&place, snapshots::capture(&runtime, false)) {
-        // Before the first request: else a kill would leave an orderly end's snapshot to be trusted.
+        // Before the first request: otherwise, after a kill, the successor would trust the snapshot of the
+        // previous orderly shutdown as complete.
         place.write(&now).map_err(|e| format!("keys.snapshot.file: {e}"))?;
     }
 
-    // Bound before anything serves: a wrong address stops the start with its name.
+    // Bound before anything serves, so that an invalid address makes the start fail.
     let admin = match std::env::var("NODE_ADMIN_ADDR") {
         Ok(text) => Some(text.trim().parse().map_err(|e| format!("NODE_ADMIN_ADDR: {text:?}: {e}"))?),
         Err(_) => config.admin_addr,
     };
-    let door =
+    let admin_listener =
         admin.map(|at| net::admin::bind(at).map_err(|e| format!("admin_addr: {at}: {e}"))).transpose()?;
 
-    let (_, roster) = assembly::connect(&runtime);
+    let (_, discovery) = assembly::connect(&runtime);
     if let Some(digest) = &digest {
         net::digest::DigestSubscriber::start(&runtime, digest);
     }
     let backlog = runtime.limits.backlog;
-    let second = gateway.map(|gateway| {
+    let faktory = gateway.map(|gateway| {
         let at = gateway.listen;
         let front = Faktory::new(&runtime, gateway)?;
         Ok((front, platform::listen(at, backlog).map_err(|e| format!("listen: {at}: {e}"))?))
     });
-    let second = second.transpose().map_err(|e: String| format!("--config: faktory: {e}"))?;
-    // Socket activation: where the platform holds the clients' socket, a process that replaces another
-    // takes it over, and no connection finds nobody listening in between.
+    let faktory = faktory.transpose().map_err(|e: String| format!("--config: faktory: {e}"))?;
+    // Socket activation: if the platform holds the clients' socket, a process that replaces another one takes
+    // it over, and no connection is refused in between.
     let inherited = std::env::var("NODE_LISTEN_FD").ok();
     let listener = match &inherited {
         Some(fd) => net::socket_activation::listener_from_fd(fd)?,
@@ -127,29 +129,29 @@
         }
     };
 
-    // What an agent holds counts as told from the first moment: what was known before is of no use then.
+    // An agent's list is authoritative from the start, so a previously known list is not used.
     let known = config.known.filter(|_| !agent);
     let bound = listener.local_addr().ok();
-    let front = assembly::start(&runtime, &roster, known, listener);
+    let front = assembly::start(&runtime, &discovery, known, listener);
     let listen = bound.unwrap_or(config.listen);
-    if let Some(door) = door {
-        let at = door.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
-        let (asks, asked) = tokio::sync::mpsc::unbounded_channel();
+    if let Some(listener) = admin_listener {
+        let at = listener.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
+        let (sender, requests) = tokio::sync::mpsc::unbounded_channel();
         let limits = net::admin::AdminLimits::default();
-        net::admin::start(door, runtime.metrics.clone(), asks, limits)
+        net::admin::start(listener, runtime.metrics.clone(), sender, limits)
             .map_err(|e| format!("admin_addr: {e}"))?;
-        let place = disabled_file::path();
-        sync_disabled(&runtime, &place);
-        actix_rt::spawn(serve_calls(runtime.clone(), asked, place.clone()));
-        let held = runtime.clone();
+        let path = disabled_file::path();
+        sync_disabled(&runtime, &path);
+        actix_rt::spawn(serve_calls(runtime.clone(), requests, path.clone()));
+        let shared_runtime = runtime.clone();
         actix_rt::spawn(async move {
             loop {
-                tokio::time::sleep(held.limits.disabled_sync_interval).await;
-                sync_disabled(&held, &place);
-                held.update_runner_metrics();
+                tokio::time::sleep(shared_runtime.limits.disabled_sync_interval).await;
+                sync_disabled(&shared_runtime, &path);
+                shared_runtime.update_runner_metrics();
             }
         });
-        // Once the door is served, so that whoever reads the register is answered.
+        // Only once the admin socket is served, so that processes that find the entry get an answer.
         match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.hand_on_timeout) {
             Ok(peers) => front.forward_call_backs_to(peers),
             Err(e) => log::warn!("call-backs of an upgrade are not handed on: $TMPDIR: {e}"),
@@ -159,7 +161,7 @@
     runtime.metrics.ready.store(true, std::sync::atomic::Ordering::Relaxed);
     log::info!("{} ready on {listen}, discovery at {}", config.name, config.discovery);
 
-    let second = second.map(|(front, listener)| {
+    let faktory = faktory.map(|(front, listener)| {
         log::info!(
             "faktory on {}",
             listener.local_addr().map_or_else(|e| e.to_string(), |at| at.to_string())
@@ -169,44 +171,44 @@
         actix_rt::spawn(front.clone().serve(listener));
         front
     });
-    let held = runtime.clone();
-    let mut read_anew = move || {
-        reload(&held, &mut text, kept.as_ref());
-        if let Some(front) = &second {
+    let reloaded_runtime = runtime.clone();
+    let mut reload_all = move || {
+        reload(&reloaded_runtime, &mut text, key_config.as_ref());
+        if let Some(front) = &faktory {
             front.reload();
         }
     };
     let writer = place.map(|place| Rc::new(snapshots::Writer::start(place)));
     let writing = writer.clone().map(|writer| {
-        let held = runtime.clone();
-        actix_rt::spawn(async move { writer.write_periodically(&held).await })
+        let runtime = runtime.clone();
+        actix_rt::spawn(async move { writer.write_periodically(&runtime).await })
     });
     let mut summary = tokio::time::interval(runtime.limits.summary_interval);
     loop {
         tokio::select! {
-            // In this order: the end goes by the settings that were in force when it was told.
+            // In this order, so that a pending reload is applied before the shutdown times are computed.
             biased;
-            Some(()) = hang_up.recv() => read_anew(),
+            Some(()) = hang_up.recv() => reload_all(),
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = summary.tick() => log::info!("{}", runtime.summary()),
         }
     }
-    // Also while the program ends: what it has taken still goes to runners that the list allows.
+    // Reloads continue during the shutdown: accepted requests still go to runners on the current list.
     actix_rt::spawn(async move {
         while hang_up.recv().await.is_some() {
-            read_anew();
+            reload_all();
         }
     });
-    // Clients and call-backs find everything as usual for a spell. After it clients are sent elsewhere,
-    // but runners' call-backs still come in: the listeners stay open to the end.
+    // For a grace period clients and call-backs are served as usual. After it clients are sent elsewhere, but
+    // the listeners stay open to the end for runners' call-backs.
     runtime.metrics.ready.store(false, std::sync::atomic::Ordering::Relaxed);
-    let (spell, stop) = runtime.shutdown_times();
+    let (grace, stop) = runtime.shutdown_times();
     log::info!("told to end within {:.3} s: {}", stop.as_secs_f64(), runtime.summary());
     runtime.feed(Input::StopAt(runtime.clock.now() + sr::Span(stop.as_nanos() as u64)));
     let shared = inherited.is_some();
-    let spell = if shared { Duration::ZERO } else { spell };
-    front.shut_down(Shutdown::new(spell, stop, runtime.limits.flush_timeout), shared).await;
+    let grace = if shared { Duration::ZERO } else { grace };
+    front.shut_down(Shutdown::new(grace, stop, runtime.limits.flush_timeout), shared).await;
     if let Some(writing) = writing {
         writing.abort();
         let _ = writing.await;
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,28 +1,27 @@
-//! The figures that operators read at the door: jobs answered, deferred and errored by class, attempts
-//! sent, jobs under way, runners listed and avoided, configurations taken and turned down. It owns the
-//! counters and their names on the page. Counters are bumped where the event happens, on the serving
-//! thread, and read from the door's thread without a lock; only a class seen for the first time takes
-//! the registry's lock. It must never decide anything, nor hold a figure that it could not count.
+//! Metrics that operators read from the admin socket: jobs answered, deferred and errored by class, attempts
+//! sent, open jobs, runners listed and avoided, configurations loaded and rejected. Counters are updated on
+//! the serving thread where the event happens, and read from the admin socket's thread without a lock; only
+//! the lookup of a class takes the registry's lock.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 
-/// Most classes counted; what clients name beyond that is not.
+/// Most classes counted. Names beyond that which clients make up are not counted.
 const MAX_CLASSES: usize = 64;
 
 /// How a job's final answer counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// Served: the runner's result went back.
+    /// Served: the client got the runner's result.
     Answered,
-    /// Refused: trying again is harmless.
+    /// Refused: safe to retry.
     Deferred,
-    /// Failed, or never of use.
+    /// Failed, or rejected as invalid.
     Errored,
 }
 
-/// The three counts of one class.
+/// The counters of one class.
 #[derive(Debug, Default)]
 pub struct ClassMetrics {
     answered: AtomicU64,
@@ -31,8 +30,8 @@
 }
 
 impl ClassMetrics {
-    pub fn count(&self, counted: AnswerKind) {
-        let counter = match counted {
+    pub fn count(&self, kind: AnswerKind) {
+        let counter = match kind {
             AnswerKind::Answered => &self.answered,
             AnswerKind::Deferred => &self.deferred,
             AnswerKind::Errored => &self.errored,
@@ -41,52 +40,52 @@
     }
 }
 
-/// Every figure of the process, from 0 at its start.
+/// All metrics of the process, from 0 at its start.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Each class by its name, in the order they were first seen.
+    /// The classes by name, in the order in which they were first seen.
     classes: Mutex<Vec<(String, Arc<ClassMetrics>)>>,
-    /// Attempts written whole to runners.
+    /// Attempts written completely to runners.
     pub sends: AtomicU64,
-    /// Jobs taken and not ended.
+    /// Jobs accepted and not finished.
     pub current: AtomicU64,
     /// Runners on the list.
     pub cluster_size: AtomicU64,
-    /// Listed runners that the dispatcher avoids now: by hand, because the list drains them, or by choice.
+    /// Listed runners that are avoided now: disabled, draining, or avoided by the balancer.
     pub cluster_unhealthy: AtomicU64,
-    /// Configurations taken at SIGHUP.
+    /// Configurations loaded on SIGHUP.
     pub conf_loaded: AtomicU64,
-    /// Configurations turned down at SIGHUP.
+    /// Configurations rejected on SIGHUP.
     pub conf_invalid: AtomicU64,
-    /// The process serves, and is not ending.
+    /// Whether the process serves and is not shutting down.
     pub ready: AtomicBool,
 }
 
 impl Metrics {
-    /// The counters of a class, made on first use.
+    /// Returns the counters of a class, created on first use.
     pub fn class(&self, name: &str) -> Arc<ClassMetrics> {
         self.find_or_create(name, usize::MAX).unwrap_or_default()
     }
 
-    /// The counters of a class that clients name, where the registry has room for one more: names
-    /// that no class has must not grow it without end.
+    /// Returns the counters of a class that a client names, if they exist or the registry has room for one
+    /// more: made-up names must not grow it without bound.
     pub fn class_if_room(&self, name: &str) -> Option<Arc<ClassMetrics>> {
         self.find_or_create(name, MAX_CLASSES)
     }
 
-    /// A class's counters, made where fewer than `most` classes are known.
-    fn find_or_create(&self, name: &str, most: usize) -> Option<Arc<ClassMetrics>> {
-        // A poisoned lock only means that a thread panicked while it held it; the counters stay true.
+    /// Returns a class's counters, which are created if fewer than `max_classes` classes are known.
+    fn find_or_create(&self, name: &str, max_classes: usize) -> Option<Arc<ClassMetrics>> {
+        // A poisoned lock only means that a thread panicked while holding it; the counters are still valid.
         let mut classes = self.classes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if let Some((_, figures)) = classes.iter().find(|(known, _)| known == name) {
-            return Some(figures.clone());
+        if let Some((_, metrics)) = classes.iter().find(|(known, _)| known == name) {
+            return Some(metrics.clone());
         }
-        if classes.len() >= most {
+        if classes.len() >= max_classes {
             return None;
         }
-        let figures = Arc::new(ClassMetrics::default());
-        classes.push((name.to_owned(), figures.clone()));
-        Some(figures)
+        let metrics = Arc::new(ClassMetrics::default());
+        classes.push((name.to_owned(), metrics.clone()));
+        Some(metrics)
     }
 
     pub fn add(counter: &AtomicU64) {
@@ -97,15 +96,15 @@
         counter.store(value as u64, Relaxed);
     }
 
-    /// The page: one `name=value` a line, each ended by a newline.
+    /// Renders the metrics as text: one `name=value` a line, each ended by a newline.
     pub fn render(&self) -> String {
         let mut page = String::new();
         let classes = self.classes.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        for (name, figures) in classes.iter() {
+        for (name, metrics) in classes.iter() {
             let counts = [
-                ("answered", &figures.answered),
-                ("deferred", &figures.deferred),
-                ("errored", &figures.errored),
+                ("answered", &metrics.answered),
+                ("deferred", &metrics.deferred),
+                ("errored", &metrics.errored),
             ];
             for (what, count) in counts {
                 let _ = writeln!(page, "transactions.{name}.{what}={}", count.load(Relaxed));
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -1,6 +1,5 @@
-//! The operator's file: what an installation switches on beside the platform's own settings. It owns the
-//! file's form, its defaults and the errors that name a key and its line. It must never open anything
-//! but the file itself, nor decide what a section's subsystem decides.
+//! The operator's file: optional features that an installation enables beside the platform's settings.
+//! Defines the file's format, its defaults, and errors that name a key and its line.
 
 use crate::net::faktory::FaktoryConfig;
 use sablerun as sr;
@@ -10,15 +9,15 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The operator's file, a section for each subsystem; what is left out is off.
+/// The operator's file, with a section for each subsystem. A subsystem without a section is off.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     /// The Faktory front.
     pub faktory: Option<FaktoryConfig>,
-    /// Idempotency keys at the edge.
+    /// Idempotency keys from clients.
     pub keys: Option<Keys>,
-    /// A load digest that is followed in place of probes.
+    /// A load digest that is followed instead of probing.
     pub digest: Option<Digest>,
 }
 
@@ -28,10 +27,10 @@
 pub struct Digest {
     /// Where the publisher listens.
     pub at: SocketAddr,
-    /// Time between two frames, as the publisher has it, in seconds.
+    /// Time between two frames as configured at the publisher, in seconds.
     #[serde(default = "default_every")]
     pub every_s: f64,
-    /// Time without a frame after which it is not believed, in seconds.
+    /// Time without a frame after which the digest is stale, in seconds.
     #[serde(default = "default_silent")]
     pub silent_s: f64,
 }
@@ -44,23 +43,23 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Keys {
-    /// Most keys held at once.
+    /// Most keys stored at once.
     pub entries: usize,
     /// Most memory for keys and results, in MiB.
     pub memory_mb: usize,
-    /// Largest result that is kept, in bytes.
+    /// Largest result that is stored, in bytes.
     pub result_bytes: usize,
     /// Longest key, in bytes.
     pub key_bytes: usize,
-    /// Share of the entries that one member may hold.
+    /// Share of the entries that one member may use.
     pub member_share: f64,
-    /// Time for which a key that may have run is remembered, in seconds; three times the class's
-    /// deadline, or its window if that is longer, if it is left out.
+    /// Time for which a key of a request that may have run is stored, in seconds. Default: three times the
+    /// class's deadline, or its window if that is longer.
     pub remember_s: Option<f64>,
-    /// Time after a start in which a marked later try under an unknown key fails, in seconds; as long as
-    /// keys are remembered if it is left out.
+    /// Time after a start during which a marked retry under an unknown key fails, in seconds. Default: as
+    /// long as keys are stored.
     pub doubt_s: Option<f64>,
-    /// Where the keys outlive the process.
+    /// The snapshot in which keys survive a restart.
     pub snapshot: Option<SnapshotFile>,
 }
 
@@ -68,7 +67,7 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotFile {
-    /// The file; beside it stand `FILE.tmp` and `FILE.lock`.
+    /// The file. `FILE.tmp` and `FILE.lock` are created beside it.
     pub file: PathBuf,
     /// Time between two snapshots, in seconds.
     #[serde(default = "default_every")]
@@ -99,14 +98,14 @@
     ///
     /// # Errors
     ///
-    /// One line that names the file, the line and the key at fault.
+    /// One line that names the file, the line and the invalid key.
     pub fn read(path: &Path) -> Result<Operator, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Operator::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The same from the file's text. A file that holds the Faktory front's keys at its top, as files did
-    /// before there were sections, is understood as that section alone.
+    /// Parses the file's text. A file with the Faktory front's keys at its top level, the format before
+    /// sections were introduced, is read as that section only.
     pub fn parse(text: &str) -> Result<Operator, String> {
         let table: toml::Table = toml::from_str(text).map_err(|e| with_line(text, e.span(), e.message()))?;
         if !table.contains_key("listen") {
@@ -122,11 +121,11 @@
         Ok(Operator { faktory: Some(parse_section(text)?), ..Operator::default() })
     }
 
-    /// Whether the file makes sense with these settings and so much memory.
+    /// Checks the file against the settings and the machine's memory.
     ///
     /// # Errors
     ///
-    /// Names the key at fault.
+    /// Names the invalid key.
     pub fn check(&self, tables: &Tables, memory_mb: usize) -> Result<(), String> {
         if let Some(gateway) = &self.faktory {
             gateway.check(tables).map_err(|e| format!("faktory: {e}"))?;
@@ -150,7 +149,7 @@
     })
 }
 
-/// An error with the line that it is about.
+/// Adds the line number of an error to its message.
 fn with_line(text: &str, span: Option<std::ops::Range<usize>>, message: &str) -> String {
     let message = message.replace('\n', " ");
     match span.and_then(|span| text.get(..span.start)) {
@@ -175,7 +174,7 @@
         sr::Span::from_secs(self.every_s)
     }
 
-    /// Time without a frame after which it is not believed.
+    /// Time without a frame after which the digest is stale.
     pub fn silent(&self) -> Duration {
         Duration::from_secs_f64(self.silent_s)
     }
@@ -186,7 +185,7 @@
         if self.entries == 0 || self.entries > 100_000_000 {
             return Err("entries: from 1 to 100000000".to_owned());
         }
-        // The rest of the memory is the dispatcher's own, as on the platform.
+        // The rest of the memory is for the dispatcher itself.
         if self.memory_mb == 0 || self.memory_mb * 2 > memory_mb {
             return Err(format!("memory_mb: from 1 to {}, half of the machine's", memory_mb / 2));
         }
@@ -215,7 +214,7 @@
         Ok(())
     }
 
-    /// What the store may hold.
+    /// The limits of the key store.
     pub fn bounds(&self, hold_off: sr::Span) -> keys::Bounds {
         keys::Bounds {
             max_entries: self.entries,
@@ -227,20 +226,21 @@
         }
     }
 
-    /// How long a class's keys are kept. A client that gives each of three tries the class's deadline is
-    /// done after three of them: a later repeat is a new job.
+    /// How long a class's keys are stored. A client that makes three tries, each with the class's deadline,
+    /// is done after three deadlines: a later repeat is a new job.
     pub fn rule(&self, class: &sr::Class) -> keys::Retention {
         let keep = self.remember_s.map_or(sr::Span(class.deadline.0.saturating_mul(3)), sr::Span::from_secs);
         keys::Retention { window: class.window, uncertain_ttl: keep.max(class.window) }
     }
 
-    /// The same for each of these classes.
+    /// The rules of these classes, in order.
     pub fn rules(&self, classes: &[sr::Class]) -> Vec<keys::Retention> {
         classes.iter().map(|class| self.rule(class)).collect()
     }
 
-    /// For how long after a start a class's marked later try may be of a request that a predecessor sent
-    /// where this process can't know. Workers of one group that is all of them drop it anywhere.
+    /// For how long after a start a marked retry in a class may repeat a request that a predecessor sent to
+    /// a location unknown to this process. Zero if all runners form one deduplication group, since then any
+    /// runner drops the repeat.
     pub fn doubt(&self, class: &sr::Class) -> sr::Span {
         match class.effect {
             sr::Effect::Safe | sr::Effect::Keyed(sr::Group::All) => sr::Span(0),
--- a/node/src/publisher.rs
+++ b/node/src/publisher.rs
@@ -1,6 +1,6 @@
-//! The publisher of a load digest (`sablerun digest`): a program beside the dispatchers, on a control machine, that
-//! asks each runner for its load once in a while and tells all who listen what has changed. It owns the order of
-//! its parts; what is told when is `sablerun_digest`'s to decide. It must never take or send a job.
+//! The publisher of a load digest (`sablerun digest`): a service on a control machine that polls each
+//! runner's load and sends the changes to all followers. `sablerun_digest` decides what each frame contains.
+//! Handles no jobs.
 
 mod config;
 mod loads;
@@ -15,21 +15,21 @@
 use tokio::net::TcpListener;
 use tokio::sync::broadcast;
 
-/// Frames that a follower may be behind: then its stream ends, and it asks for the whole.
+/// Most frames that a follower may lag behind. Beyond that its stream ends, and it requests the full digest.
 const MAX_FRAMES_BEHIND: usize = 16;
 
-/// What the parts share.
+/// State shared between the publisher's tasks.
 struct Shared {
     config: Config,
     publisher: RefCell<Publisher>,
     frames: broadcast::Sender<Vec<u8>>,
 }
 
-/// Publishes until the program is ended.
+/// Publishes until the program ends.
 ///
 /// # Errors
 ///
-/// The address can't be listened at.
+/// Can't listen on the address.
 pub async fn run(config: Config) -> Result<(), String> {
     let at = config.listen;
     let listener = TcpListener::bind(at).await.map_err(|e| format!("listen: {at}: {e}"))?;
@@ -48,12 +48,12 @@
         ticks.tick().await;
         let frame = shared.publisher.borrow_mut().next_frame(shared.config.frame_bytes());
         match frame.to_bytes() {
-            // Nobody listens: nobody is owed it.
+            // Sending fails only if there are no followers.
             Ok(bytes) => {
                 log::debug!("frame of bytes={} followers={}", bytes.len(), shared.frames.receiver_count());
                 drop(shared.frames.send(bytes));
             }
-            Err(e) => log::error!("a frame could not be worded: {}", e.0),
+            Err(e) => log::error!("a frame could not be encoded: {}", e.0),
         }
     }
 }
--- a/node/src/publisher/config.rs
+++ b/node/src/publisher/config.rs
@@ -1,37 +1,37 @@
-//! The publisher's file (deploy/digest.toml). It owns its form, defaults and errors.
+//! The publisher's configuration file (`deploy/digest.toml`): its format, defaults and errors.
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-/// What the file says.
+/// The contents of the file.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where followers come.
+    /// The address on which followers connect.
     pub listen: SocketAddr,
-    /// Where the list of runners is asked for.
+    /// The address that serves the runner list.
     pub discovery: SocketAddr,
-    /// Each runner is asked, and a frame goes out, once in this time.
-    #[serde(default = "second")]
+    /// Interval at which each runner is polled and a frame is sent, in milliseconds.
+    #[serde(default = "default_every_ms")]
     pub every_ms: u64,
-    /// What a follower is told a second, in bytes; names and the whole at its start come on top.
-    #[serde(default = "bytes")]
+    /// Bytes per second sent to a follower, not counting names and the full digest at the start.
+    #[serde(default = "default_bytes_per_s")]
     pub bytes_per_s: usize,
-    /// The figures that are told, by the names under which runners report them.
-    #[serde(default = "fields")]
+    /// The load fields that are published, by the names under which runners report them.
+    #[serde(default = "default_fields")]
     pub fields: Vec<String>,
 }
 
-fn second() -> u64 {
+fn default_every_ms() -> u64 {
     1000
 }
 
-fn bytes() -> usize {
+fn default_bytes_per_s() -> usize {
     4000
 }
 
-fn fields() -> Vec<String> {
+fn default_fields() -> Vec<String> {
     ["outstanding", "x0", "recent_ms", "errors_per_s"].map(str::to_owned).to_vec()
 }
 
@@ -40,17 +40,17 @@
     ///
     /// # Errors
     ///
-    /// Names the file and the key at fault.
+    /// Names the file and the invalid key.
     pub fn read(path: &Path) -> Result<Config, String> {
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
         text.and_then(|text| Config::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The same from the file's text.
+    /// Parses the file's text.
     ///
     /// # Errors
     ///
-    /// Names the key at fault.
+    /// Names the invalid key.
     pub fn parse(text: &str) -> Result<Config, String> {
         let toml = toml::Deserializer::parse(text).map_err(|e| e.message().replace('\n', " "))?;
         let config: Config = serde_path_to_error::deserialize(toml)
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -1,5 +1,4 @@
-//! Which runners there are, and what each says of its load: the watch on discovery's list, and one question to each
-//! runner in a round. It owns both; it must never judge an answer.
+//! Watches discovery's runner list and polls each listed runner's load once per interval.
 
 use super::Shared;
 use crate::net::hosts::Hosts;
@@ -16,20 +15,21 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time for a runner's answer.
+/// Timeout for a runner's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without a word after which the watch is opened anew: an empty line comes every 2 s.
+/// Time without data after which the watch is reopened; an empty line comes every 2 s.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
-/// Longest wait before it is.
+/// Longest delay before the watch is reopened.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest line of a watch, and longest answer, in bytes.
+/// Longest line of a watch, in bytes.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
+/// Longest load answer, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Where runners listen, by name.
+/// The runners' addresses, by name.
 type Runners = Rc<RefCell<BTreeMap<String, SocketAddr>>>;
 
-/// Follows the list and asks those on it; never ends.
+/// Follows the list and polls the listed runners; never returns.
 pub(super) async fn follow(shared: Rc<Shared>) {
     let (runners, mut seq) = (Runners::default(), 0);
     loop {
@@ -61,25 +61,25 @@
 }
 
 fn apply_list(shared: &Rc<Shared>, runners: &Runners, hosts: Hosts) {
-    let mut held = runners.borrow_mut();
+    let mut known = runners.borrow_mut();
     if hosts.whole {
-        held.retain(|name, _| hosts.hosts.iter().any(|host| host.host == *name));
+        known.retain(|name, _| hosts.hosts.iter().any(|host| host.host == *name));
     }
     for host in hosts.hosts {
         match host.dial.parse() {
             Ok(at) if host.health != "left" => {
-                if held.insert(host.host.clone(), at).is_none() {
+                if known.insert(host.host.clone(), at).is_none() {
                     actix_rt::spawn(poll_runner(shared.clone(), runners.clone(), host.host));
                 }
             }
-            _ => _ = held.remove(&host.host),
+            _ => _ = known.remove(&host.host),
         }
     }
 }
 
-/// Asks one runner in each round, at a moment of its own in it, for as long as it is listed.
+/// Polls one runner once per interval, at a random offset within it, while it is listed.
 async fn poll_runner(shared: Rc<Shared>, runners: Runners, runner: String) {
-    // The connection is kept from round to round.
+    // The connection is reused between rounds.
     let client = Client::builder().timeout(ANSWER_TIMEOUT).finish();
     let every = shared.config.every();
     tokio::time::sleep(every.mul_f64(fastrand::f64())).await;
@@ -88,10 +88,11 @@
     loop {
         rounds.tick().await;
         let Some(at) = runners.borrow().get(&runner).copied() else { return };
-        let told = timeout(ANSWER_TIMEOUT, fetch_load(&client, at)).await.ok().flatten();
-        let figure = |name: &String| told.as_ref().and_then(|told| told.get(name)?.as_f64()).unwrap_or(0.0);
-        let figures = shared.config.fields.iter().map(figure).collect();
-        let load = Load { runner: runner.clone(), ok: told.is_some(), values: figures };
+        let report = timeout(ANSWER_TIMEOUT, fetch_load(&client, at)).await.ok().flatten();
+        let value =
+            |name: &String| report.as_ref().and_then(|report| report.get(name)?.as_f64()).unwrap_or(0.0);
+        let figures = shared.config.fields.iter().map(value).collect();
+        let load = Load { runner: runner.clone(), ok: report.is_some(), values: figures };
         shared.publisher.borrow_mut().record(&load);
     }
 }
--- a/node/src/publisher/serve.rs
+++ b/node/src/publisher/serve.rs
@@ -1,5 +1,5 @@
-//! Followers' connections: the whole first, then each frame as it is made. It owns the streams; it must never hold
-//! one back for another: who is too slow is let go, and asks for the whole.
+//! Followers' connections: each gets the full digest first, then every new frame. Followers do not delay each
+//! other: one that is too slow is disconnected, and requests the full digest again.
 
 use super::Shared;
 use actix_http::body::{BodyStream, BoxBody, MessageBody};
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Wait before a listener that ran out of descriptors tries again.
+/// Delay before accepting again after the process ran out of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts followers; never ends.
+/// Accepts followers; never returns.
 pub(super) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     let service = HttpService::build()
         .client_request_timeout(Duration::from_secs(2))
@@ -52,24 +52,25 @@
     if request.method() != Method::GET {
         return Response::new(StatusCode::METHOD_NOT_ALLOWED);
     }
-    // The next frame after the whole is the first that the receiver gets: both are taken in one moment.
+    // Subscribing and taking the full digest happen without a frame in between, so the first frame received
+    // is the next one after the full digest.
     let frames = shared.frames.subscribe();
-    let whole = match shared.publisher.borrow().full_frame().to_bytes() {
-        Ok(whole) => {
-            log::debug!("whole of bytes={}", whole.len());
-            whole
+    let full = match shared.publisher.borrow().full_frame().to_bytes() {
+        Ok(full) => {
+            log::debug!("whole of bytes={}", full.len());
+            full
         }
         Err(e) => {
-            log::error!("the whole could not be worded: {}", e.0);
+            log::error!("the full digest could not be encoded: {}", e.0);
             return Response::new(StatusCode::INTERNAL_SERVER_ERROR);
         }
     };
-    let told = stream::unfold((Some(whole), frames), |(whole, mut frames)| async move {
-        let bytes = match whole {
-            Some(whole) => whole,
+    let chunks = stream::unfold((Some(full), frames), |(full, mut frames)| async move {
+        let bytes = match full {
+            Some(full) => full,
             None => frames.recv().await.ok()?,
         };
         Some((Ok::<_, Infallible>(Bytes::from(bytes)), (None, frames)))
     });
-    Response::with_body(StatusCode::OK, BodyStream::new(Box::pin(told)).boxed())
+    Response::with_body(StatusCode::OK, BodyStream::new(Box::pin(chunks)).boxed())
 }
--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -1,7 +1,6 @@
-//! The keys' snapshot on disk. It owns the file, its lock and the thread that writes: a snapshot is
-//! written whole to a file beside it, synced, and put in its place by a rename, so that a kill at any
-//! moment leaves the one before or the new one. It must never block the dispatcher's thread on the disk
-//! while it serves, nor use a file that is damaged: that is set aside under `FILE.refused`.
+//! Snapshots of the idempotency keys on disk. A snapshot is written to a temporary file, synced and renamed,
+//! so that a kill at any moment leaves either the previous one or the new one. While the dispatcher serves,
+//! only a separate thread writes to the disk. A damaged file is not used, but renamed to `FILE.refused`.
 
 use crate::operator::SnapshotFile;
 use crate::runtime::Runtime;
@@ -15,20 +14,20 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A snapshot's file, locked by this process.
+/// A snapshot file, locked by this process.
 pub struct LockedSnapshot {
     file: PathBuf,
     every: Duration,
-    /// Held as long as the process may write.
+    /// Keeps the lock while the process may write.
     _lock: File,
 }
 
 impl LockedSnapshot {
-    /// Takes the file for this process.
+    /// Locks the file for this process.
     ///
     /// # Errors
     ///
-    /// Says why it can't be used, and what to do.
+    /// States why it can't be used, and what to do.
     pub fn lock(at: &SnapshotFile) -> Result<LockedSnapshot, String> {
         let lock = sibling(&at.file, "lock");
         let open = OpenOptions::new().create(true).truncate(false).write(true).open(&lock);
@@ -44,7 +43,7 @@
         Ok(LockedSnapshot { file: at.file.clone(), every: Duration::from_secs_f64(at.every_s), _lock: held })
     }
 
-    /// What a predecessor left; `None` if there is nothing, or nothing that can be used.
+    /// Reads a predecessor's snapshot; `None` if there is none, or none that can be used.
     pub fn read(&self) -> Option<Snapshot> {
         let bytes = match std::fs::read(&self.file) {
             Ok(bytes) => bytes,
@@ -66,11 +65,11 @@
         }
     }
 
-    /// Writes a snapshot whole, or leaves the one before.
+    /// Writes a snapshot completely, or leaves the previous one.
     ///
     /// # Errors
     ///
-    /// Says what the disk said.
+    /// The I/O error.
     pub fn write(&self, snapshot: &Snapshot) -> Result<usize, String> {
         write_atomically(&self.file, &snapshot.encode()).map_err(|e| format!("{}: {e}", self.file.display()))
     }
@@ -87,7 +86,7 @@
     let draft = sibling(file, "tmp");
     let mut out = File::create(&draft)?;
     out.write_all(bytes)?;
-    // Before the rename: else a power cut may leave the new name on bytes that never arrived.
+    // Before the rename: otherwise a power cut may leave the file with data that was never written.
     out.sync_all()?;
     std::fs::rename(&draft, file)?;
     let folder = file.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
@@ -95,13 +94,14 @@
     Ok(bytes.len())
 }
 
-/// What the dispatcher holds now. `last`: it has answered everything and sends nothing any more.
+/// Takes a snapshot of the dispatcher's keys. `last`: the dispatcher has answered everything and sends
+/// nothing any more.
 pub fn capture(runtime: &Runtime, last: bool) -> Option<Snapshot> {
     let made = runtime.clock.now();
     let (records, doubt) = runtime.with_keys(|core, store| {
         (store.records(made, |run| core.sent(run)), store.rejects_unknown_retries(made))
     })?;
-    // What this process can't know of its predecessor its successor can't know from it.
+    // While it is in doubt what the predecessor did, the snapshot is incomplete for the successor too.
     let last = last && !doubt;
     let names = runtime.with_tables(|tables| Names {
         members: tables.tenants.all().to_vec(),
@@ -111,7 +111,7 @@
     Some(Snapshot { taken_at: made, clean_shutdown: last, names, records })
 }
 
-/// Writes snapshots on a thread of its own.
+/// Writes snapshots on a separate thread.
 pub struct Writer {
     queue: SyncSender<Snapshot>,
     thread: JoinHandle<()>,
@@ -119,33 +119,33 @@
 }
 
 impl Writer {
-    pub fn start(place: LockedSnapshot) -> Writer {
-        // One is written while the next is made; a disk slower than that makes rounds be left out.
+    pub fn start(file: LockedSnapshot) -> Writer {
+        // One is written while the next is made. If the disk is slower than that, snapshots are skipped.
         let (queue, snapshots) = sync_channel(1);
-        let every = place.every;
-        let thread = std::thread::spawn(move || write_queued(&place, &snapshots));
+        let every = file.every;
+        let thread = std::thread::spawn(move || write_queued(&file, &snapshots));
         Writer { queue, thread, every }
     }
 
-    /// Makes a snapshot every so often; never ends.
+    /// Makes a snapshot once per interval; never returns.
     pub async fn write_periodically(&self, runtime: &Rc<Runtime>) {
-        let mut left_out = 0u64;
+        let mut skipped = 0u64;
         loop {
             tokio::time::sleep(self.every).await;
             let Some(snapshot) = capture(runtime, false) else { continue };
             match self.queue.try_send(snapshot) {
-                Ok(()) => left_out = 0,
+                Ok(()) => skipped = 0,
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                    left_out += 1;
-                    if left_out.is_power_of_two() {
-                        log::warn!("keys: the disk is too slow: {left_out} snapshots left out in a row");
+                    skipped += 1;
+                    if skipped.is_power_of_two() {
+                        log::warn!("keys: the disk is too slow: {skipped} snapshots left out in a row");
                     }
                 }
             }
         }
     }
 
-    /// Writes the last one and waits for it.
+    /// Writes the last snapshot and waits for it.
     pub fn finish(self, snapshot: Option<Snapshot>) {
         if let Some(snapshot) = snapshot {
             let _ = self.queue.send(snapshot);
@@ -155,10 +155,10 @@
     }
 }
 
-fn write_queued(place: &LockedSnapshot, snapshots: &Receiver<Snapshot>) {
+fn write_queued(file: &LockedSnapshot, snapshots: &Receiver<Snapshot>) {
     let mut failing = false;
     for snapshot in snapshots {
-        match place.write(&snapshot) {
+        match file.write(&snapshot) {
             Ok(bytes) => {
                 if std::mem::take(&mut failing) {
                     log::info!("keys: snapshots are written again");
@@ -174,17 +174,18 @@
     }
 }
 
-/// The keys that a predecessor left, and for how long it may be in doubt what it did.
+/// Restores a predecessor's keys into the store. Without a snapshot from an orderly shutdown, marks each
+/// class as in doubt for its time in `doubts`.
 pub fn restore(
     mut store: keys::Store,
     doubts: &[sr::Span],
     tables: &sablerun_settings::Tables,
-    place: Option<&LockedSnapshot>,
+    file: Option<&LockedSnapshot>,
     now: sr::Time,
 ) -> keys::Store {
-    let snapshot = place.and_then(LockedSnapshot::read);
-    let whole = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
-    if !whole {
+    let snapshot = file.and_then(LockedSnapshot::read);
+    let complete = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
+    if !complete {
         for (class, doubt) in doubts.iter().enumerate() {
             store.reject_unknown_retries_until(class as u32, now + *doubt);
         }
@@ -194,7 +195,7 @@
         let names = (|n: &str| tables.classes.get(n), |n: &str| tables.tenants.get(n));
         let records = snapshot.renumbered(names.0, names.1, |n| tables.zones.get(n));
         let taken = store.restore(now, records);
-        log::info!(keys = all, taken = taken, age_s = age, whole = whole; "keys: a predecessor's are back");
+        log::info!(keys = all, taken = taken, age_s = age, whole = complete; "keys: a predecessor's are back");
     }
     store
 }
