--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -86,8 +86,8 @@
         Limits { key_bounds: bounds, ..self }
     }
 
-    /// For how long the program serves as usual after SIGTERM, and after how long it answers what is unanswered
-    /// and ends, given the longest deadline of the settings in force.
+    /// For how long the program serves as usual after SIGTERM, and after how long it answers what is
+    /// unanswered and ends, given the longest deadline of the settings in force.
     pub fn shutdown_times(&self, longest_deadline: Duration) -> (Duration, Duration) {
         // SIGKILL comes 0.7 s after the longest deadline, of which at most 3 s count. Requests unanswered by
         // then are lost, so the program ends 0.3 s earlier, a margin for a busy machine.
@@ -98,10 +98,11 @@
         (grace, stop)
     }
 
-    /// Computes the limits from the machine's number of descriptors, its memory and the settings. `two_fronts`:
-    /// the Faktory front is on too.
+    /// Computes the limits from the machine's number of descriptors, its memory and the settings.
+    /// `two_fronts`: the Faktory front is on too.
     pub fn new(sockets: usize, memory_mb: usize, env: &Env, two_fronts: bool) -> Limits {
-        // 40 are for the standard streams, the async runtime, the listeners, the watch and a call to discovery.
+        // 40 are for the standard streams, the async runtime, the listeners, the watch and a call to
+        // discovery.
         let free = sockets.saturating_sub(40).max(16);
         let idle = Duration::from_nanos(env.limits.conn_idle.unwrap_or(10_000_000_000));
         let body = 64 * 1024;
@@ -141,7 +142,8 @@
             cancel_timeout: Duration::from_secs(1),
             // A call that fails after this time leaves time for another; see docs/design/fleet.md.
             list_timeout: Duration::from_millis(1500),
-            // An empty line comes every 2 s. A change that a silent watch misses counts as delivered after 6 s.
+            // An empty line comes every 2 s. A change that a silent watch misses counts as delivered after
+            // 6 s.
             watch_silence_timeout: Duration::from_millis(2500),
             late_watch_timeout: Duration::from_secs(10),
             // Well within the 6 s in which nine in ten dispatchers must be ready.
@@ -149,13 +151,13 @@
             max_watch_line_bytes: 4 * 1024 * 1024,
             shutdown_poll_interval: Duration::from_millis(5),
             key_bounds: None,
-            // A disabled runner must be avoided by both processes from the success reply on, which comes at most
-            // 1 s after the call.
+            // A disabled runner must be avoided by both processes from the success reply on, which comes at
+            // most 1 s after the call.
             disabled_sync_interval: Duration::from_millis(250),
             runner_count_interval: Duration::from_millis(100),
             hand_on_timeout: Duration::from_millis(300),
-            // New settings are in use 1.2 s after SIGHUP, when a client's last job of a removed class may still
-            // be on its way.
+            // New settings are in use 1.2 s after SIGHUP, when a client's last job of a removed class may
+            // still be on its way.
             removed_class_grace: Duration::from_secs(2),
         }
     }
--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -184,8 +184,8 @@
     now: sr::Time,
 ) -> keys::Store {
     let snapshot = file.and_then(LockedSnapshot::read);
-    let complete = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
-    if !complete {
+    let clean = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
+    if !clean {
         for (class, doubt) in doubts.iter().enumerate() {
             store.reject_unknown_retries_until(class as u32, now + *doubt);
         }
@@ -195,7 +195,7 @@
         let names = (|n: &str| tables.classes.get(n), |n: &str| tables.tenants.get(n));
         let records = snapshot.renumbered(names.0, names.1, |n| tables.zones.get(n));
         let taken = store.restore(now, records);
-        log::info!(keys = all, taken = taken, age_s = age, whole = complete; "keys: a predecessor's are back");
+        log::info!(keys = all, taken = taken, age_s = age, whole = clean; "keys: a predecessor's are back");
     }
     store
 }
