--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -200,9 +200,9 @@
         match input {
             Input::Arrived(arrival) => self.handle_arrival(now, arrival),
             Input::ClientGone(ticket) => self.handle_client_gone(now, ticket),
-            Input::Started { id, from } => self.handle_note(now, &id, &from, sr::Note::Started),
+            Input::Started { id, from } => self.handle_update(now, &id, &from, sr::AttemptUpdate::Started),
             Input::Progress { id, from, share } => {
-                self.handle_note(now, &id, &from, sr::Note::Progress(share))
+                self.handle_update(now, &id, &from, sr::AttemptUpdate::Progress(share))
             }
             Input::Finished { id, from, end } => {
                 if let Some(attempt) = self.live_attempt(&id, &from) {
@@ -234,7 +234,7 @@
                 if self.discovery != at {
                     self.discovery = at;
                     self.effects.push(Effect::Subscribe(at));
-                    self.notify(now, sr::Event::ListMoved);
+                    self.notify(now, sr::Event::DiscoveryMoved);
                 }
             }
             Input::StopAt(at) => {
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -15,9 +15,9 @@
     }
 
     /// Passes a start or progress report about a live attempt to the balancer.
-    pub(super) fn handle_note(&mut self, now: sr::Time, id: &str, from: &str, note: sr::Note) {
+    pub(super) fn handle_update(&mut self, now: sr::Time, id: &str, from: &str, update: sr::AttemptUpdate) {
         if let Some(AttemptId { request, number }) = self.live_attempt(id, from) {
-            self.notify(now, sr::Event::Noted(sr::RequestId(request), number, note));
+            self.notify(now, sr::Event::AttemptUpdate(sr::RequestId(request), number, update));
         }
     }
 
@@ -63,11 +63,11 @@
         let class = &self.settings.classes[request.class as usize];
         let first_sent =
             earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent).chain(request.prior_sent).min();
-        let in_window = match class.effect {
-            sr::Effect::Keyed(_) => {
+        let in_window = match class.idempotency {
+            sr::Idempotency::Keyed(_) => {
                 first_sent.is_none_or(|first| now < first + class.window - sr::Span(self.settings.tick.0 * 2))
             }
-            sr::Effect::Safe | sr::Effect::Unsafe => true,
+            sr::Idempotency::Safe | sr::Idempotency::Unsafe => true,
         };
         this.first().is_some_and(|a| a.live) && now < request.deadline && in_window
     }
--- a/node/src/core/balancer.rs
+++ b/node/src/core/balancer.rs
@@ -46,7 +46,7 @@
             sr::Action::Probe(worker) => {
                 self.effects.push(Effect::Probe(self.tables.workers.name(worker.0).to_owned()));
             }
-            sr::Action::Release(worker) => {
+            sr::Action::CloseIdle(worker) => {
                 self.effects.push(Effect::CloseIdle(self.tables.workers.name(worker.0).to_owned()));
             }
         }
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -34,9 +34,9 @@
     fn update_report_age(&mut self, now: sr::Time) {
         let age =
             self.digest.as_ref().filter(|digest| digest.is_fresh(now)).map(|digest| digest.interval.secs());
-        if self.settings.report_age != age {
-            self.settings.report_age = age;
-            self.pending_events.push_back(sr::Event::Retuned(Box::new(self.settings.clone())));
+        if self.settings.report_age_s != age {
+            self.settings.report_age_s = age;
+            self.pending_events.push_back(sr::Event::SettingsChanged(Box::new(self.settings.clone())));
         }
     }
 
--- a/node/src/core/disabled.rs
+++ b/node/src/core/disabled.rs
@@ -41,7 +41,7 @@
             self.list_entries.iter().filter(|((_, w), _)| *w == worker).map(|(_, e)| e.clone()).collect();
         if !entries.is_empty() {
             let mut entries = self.with_disabled_as_draining(entries);
-            if !disabled && self.settings.drain_binds_alone {
+            if !disabled && self.settings.only_draining_excludes {
                 // With this setting a drain lasts until a later start, so the runner is shown as starting
                 // now, which includes slow start.
                 entries.iter_mut().for_each(|entry| entry.up_since = Some(now));
@@ -55,8 +55,8 @@
     /// Returns the entries for the balancer, with disabled runners shown as draining.
     pub(super) fn with_disabled_as_draining(&self, mut entries: Vec<sr::ListEntry>) -> Vec<sr::ListEntry> {
         for entry in &mut entries {
-            if self.disabled.contains(&entry.worker.0) && entry.standing == sr::Standing::Ready {
-                entry.standing = sr::Standing::Draining;
+            if self.disabled.contains(&entry.worker.0) && entry.state == sr::WorkerState::Ready {
+                entry.state = sr::WorkerState::Draining;
             }
         }
         entries
@@ -66,7 +66,7 @@
     pub(super) fn update_avoided(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
         for ((_, worker), entry) in &self.list_entries {
-            let avoided = self.disabled.contains(worker) || entry.standing != sr::Standing::Ready;
+            let avoided = self.disabled.contains(worker) || entry.state != sr::WorkerState::Ready;
             *listed.entry(*worker).or_insert(true) &= avoided;
         }
         self.avoided = listed;
--- a/node/src/core/idempotency.rs
+++ b/node/src/core/idempotency.rs
@@ -14,7 +14,7 @@
     /// Whether keys are used for this class: only where a repeat could do harm.
     pub fn wants_key(&self, class: u32) -> bool {
         let class = self.settings.classes.get(class as usize);
-        self.keys.is_some() && class.is_some_and(|class| class.effect != sr::Effect::Safe)
+        self.keys.is_some() && class.is_some_and(|class| class.idempotency != sr::Idempotency::Safe)
     }
 
     /// The key store, if keys are enabled.
@@ -56,10 +56,12 @@
             let place = self.locations.get(&attempt.runner).copied().map(|place| {
                 // Keeps only the part of the location that separates groups of runners that deduplicate
                 // for each other.
-                match self.settings.classes[request.class as usize].effect {
-                    sr::Effect::Keyed(sr::Group::All) => keys::Place { zone: 0, cell: 0 },
-                    sr::Effect::Keyed(sr::Group::Zone) => keys::Place { cell: 0, ..place },
-                    sr::Effect::Keyed(sr::Group::Cell) | sr::Effect::Safe | sr::Effect::Unsafe => place,
+                match self.settings.classes[request.class as usize].idempotency {
+                    sr::Idempotency::Keyed(sr::DedupScope::All) => keys::Place { zone: 0, cell: 0 },
+                    sr::Idempotency::Keyed(sr::DedupScope::Zone) => keys::Place { cell: 0, ..place },
+                    sr::Idempotency::Keyed(sr::DedupScope::Cell)
+                    | sr::Idempotency::Safe
+                    | sr::Idempotency::Unsafe => place,
                 }
             });
             keys::SentAttempts::single(place, attempt.sent)
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -24,7 +24,7 @@
                 zone: sr::ZoneId(zone),
                 kind: sr::KindId(self.tables.kinds.intern(&runner.kind)),
                 cell: runner.cell,
-                standing: runner.standing,
+                state: runner.standing,
                 size: runner.size,
                 up_since: runner.up_since,
             });
@@ -32,8 +32,8 @@
         if kind == sr::ListKind::Delta {
             for entry in &changed {
                 let key = (source, entry.worker.0);
-                match entry.standing {
-                    sr::Standing::Gone => self.list_entries.remove(&key),
+                match entry.state {
+                    sr::WorkerState::Gone => self.list_entries.remove(&key),
                     _ => self.list_entries.insert(key, entry.clone()),
                 };
             }
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -38,8 +38,8 @@
         self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let reconciled = reconcile(&self.settings, &mut self.tables, settings, &tables);
-        let report_age = self.settings.report_age;
-        self.settings = sr::Settings { report_age, ..reconciled.settings };
+        let report_age_s = self.settings.report_age_s;
+        self.settings = sr::Settings { report_age_s, ..reconciled.settings };
         for (number, rule) in reconciled.classes.iter().zip(rules) {
             if let Some(store) = self.keys.as_mut().filter(|_| *number as usize >= before) {
                 store.add_class(rule);
@@ -52,6 +52,6 @@
                 self.removed_classes.entry(number).or_insert(until);
             }
         }
-        self.notify(now, sr::Event::Retuned(Box::new(self.settings.clone())));
+        self.notify(now, sr::Event::SettingsChanged(Box::new(self.settings.clone())));
     }
 }
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -42,7 +42,11 @@
                 keys::Admission::New => {}
                 keys::Admission::Resend(sent) => {
                     let place = sent.place.unwrap_or(keys::Place { zone: u32::MAX, cell: 0 });
-                    prior = Some(sr::Prior { zone: place.zone(), cell: place.cell, sent: sent.first_at });
+                    prior = Some(sr::PriorAttempt {
+                        zone: place.zone(),
+                        cell: place.cell,
+                        sent_at: sent.first_at,
+                    });
                 }
                 keys::Admission::Join(run) => return self.join_request(now, run.0 as u32, ticket, deadline),
                 other => {
@@ -56,7 +60,7 @@
         self.requests_by_ticket.insert(ticket, number);
         let key = key.filter(|_| self.keys.is_some()).map(|key| PendingKey { member, text: key.text });
         let (waiting, attempts) = (vec![(ticket, deadline)], Vec::new());
-        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent), false);
+        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent_at), false);
         let request =
             Request { waiters: waiting, id, class, deadline, job, key, prior_sent: sent, answered, attempts };
         self.requests.insert(number, request);
@@ -106,7 +110,7 @@
         self.requests_by_ticket.insert(ticket, request);
         self.set_timer(deadline, Timer::Deadline(request));
         if later {
-            self.notify(now, sr::Event::Extended(sr::RequestId(request), deadline));
+            self.notify(now, sr::Event::DeadlineExtended(sr::RequestId(request), deadline));
         }
     }
 
@@ -118,7 +122,7 @@
         entry.waiters.retain(|(waiting, _)| *waiting != ticket);
         if entry.waiters.is_empty() {
             self.close_request(now, request, None);
-            self.notify(now, sr::Event::Closed(sr::RequestId(request)));
+            self.notify(now, sr::Event::RequestClosed(sr::RequestId(request)));
             self.remove_if_finished(request);
         }
     }
@@ -181,7 +185,7 @@
                 return;
             }
             self.close_request(now, request, None);
-            self.notify(now, sr::Event::Closed(sr::RequestId(request)));
+            self.notify(now, sr::Event::RequestClosed(sr::RequestId(request)));
         }
         let attempts = self.requests.get(&request).map_or(0, |entry| entry.attempts.len());
         for number in 0..attempts as u32 {
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -242,8 +242,8 @@
     /// a location unknown to this process. Zero if all runners form one deduplication group, since then any
     /// runner drops the repeat.
     pub fn doubt(&self, class: &sr::Class) -> sr::Span {
-        match class.effect {
-            sr::Effect::Safe | sr::Effect::Keyed(sr::Group::All) => sr::Span(0),
+        match class.idempotency {
+            sr::Idempotency::Safe | sr::Idempotency::Keyed(sr::DedupScope::All) => sr::Span(0),
             _ => self.doubt_s.map_or(self.rule(class).uncertain_ttl, sr::Span::from_secs),
         }
     }
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -60,7 +60,7 @@
             zone,
             kind: KindId(0),
             cell: 0,
-            standing: Standing::Ready,
+            state: WorkerState::Ready,
             size: 1.0,
             up_since: (n == 1).then_some(now),
         });
@@ -98,7 +98,7 @@
         report: Option<Report>,
     ) -> Vec<Action> {
         let (request, closed) = (RequestId(request), outcome == Outcome::Ok);
-        self.notify(Event::Noted(request, attempt, Note::Started));
+        self.notify(Event::AttemptUpdate(request, attempt, AttemptUpdate::Started));
         self.now = self.now + Span(20_000_000);
         self.notify(Event::Ended { request, attempt, outcome, closed, report })
     }
