--- a/node/src/core/disabled.rs
+++ b/node/src/core/disabled.rs
@@ -20,8 +20,8 @@
     }
 
     /// Disables a runner, or enables it again: the balancer is given its list entries as draining, or as
-    /// listed. Idempotent. A name that was never listed is an error, unless the call comes from the other process of
-    /// an upgrade (`from_peer`).
+    /// listed. Idempotent. A name that was never listed is an error, unless the call comes from the other
+    /// process of an upgrade (`from_peer`).
     pub(super) fn set_disabled(
         &mut self,
         now: sr::Time,
