--- a/node/src/publisher/config.rs
+++ b/node/src/publisher/config.rs
@@ -13,25 +13,25 @@
     /// The address that serves the runner list.
     pub discovery: SocketAddr,
     /// Interval at which each runner is polled and a frame is sent, in milliseconds.
-    #[serde(default = "default_every_ms")]
+    #[serde(default = "second")]
     pub every_ms: u64,
     /// Bytes per second sent to a follower, not counting names and the full digest at the start.
-    #[serde(default = "default_bytes_per_s")]
+    #[serde(default = "bytes")]
     pub bytes_per_s: usize,
     /// The load fields that are published, by the names under which runners report them.
-    #[serde(default = "default_fields")]
+    #[serde(default = "fields")]
     pub fields: Vec<String>,
 }
 
-fn default_every_ms() -> u64 {
+fn second() -> u64 {
     1000
 }
 
-fn default_bytes_per_s() -> usize {
+fn bytes() -> usize {
     4000
 }
 
-fn default_fields() -> Vec<String> {
+fn fields() -> Vec<String> {
     ["outstanding", "x0", "recent_ms", "errors_per_s"].map(str::to_owned).to_vec()
 }
 
