--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -30,7 +30,7 @@
 struct Attempt {
     runner: u32,
     live: bool,
-    sent: sr::Time,
+    sent_at: sr::Time,
     /// False only if the attempt provably never ran.
     may_have_run: bool,
     /// What its runner may still report after the attempt has ended.
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -62,7 +62,7 @@
         let (earlier, this) = request.attempts.split_at(attempt.number as usize);
         let class = &self.settings.classes[request.class as usize];
         let first_sent =
-            earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent).chain(request.prior_sent).min();
+            earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent_at).chain(request.prior_sent).min();
         let in_window = match class.idempotency {
             sr::Idempotency::Keyed(_) => {
                 first_sent.is_none_or(|first| now < first + class.window - sr::Span(self.settings.tick.0 * 2))
@@ -130,7 +130,7 @@
         entry.attempts.push(Attempt {
             runner,
             live: !skipped,
-            sent: now,
+            sent_at: now,
             may_have_run: !skipped,
             late_report: LateReport::None,
         });
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -32,10 +32,10 @@
     /// Sets the highest age of a runner's report, and notifies the balancer when it changes: how far it
     /// trusts a report depends on the report's age.
     fn update_report_age(&mut self, now: sr::Time) {
-        let age =
+        let report_age_s =
             self.digest.as_ref().filter(|digest| digest.is_fresh(now)).map(|digest| digest.interval.secs());
-        if self.settings.report_age_s != age {
-            self.settings.report_age_s = age;
+        if self.settings.report_age_s != report_age_s {
+            self.settings.report_age_s = report_age_s;
             self.pending_events.push_back(sr::Event::SettingsChanged(Box::new(self.settings.clone())));
         }
     }
@@ -86,8 +86,8 @@
 
     fn load_event(&self, worker: sr::WorkerId, load: &Load) -> sr::Event {
         let fields = self.digest.iter().flat_map(|digest| digest.follower.fields());
-        let figures = fields.map(String::as_str).zip(load.values.iter().copied());
-        let report = load.ok.then(|| self.tables.named_report(figures));
+        let values = fields.map(String::as_str).zip(load.values.iter().copied());
+        let report = load.ok.then(|| self.tables.named_report(values));
         sr::Event::Probed(worker, load.ok, report)
     }
 }
--- a/node/src/core/idempotency.rs
+++ b/node/src/core/idempotency.rs
@@ -64,7 +64,7 @@
                     | sr::Idempotency::Unsafe => place,
                 }
             });
-            keys::SentAttempts::single(place, attempt.sent)
+            keys::SentAttempts::single(place, attempt.sent_at)
         });
         sent.reduce(keys::SentAttempts::merge)
     }
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -8,6 +8,8 @@
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
+    /// Admits a new request. It is refused if too many are open, and fails if its id is in use. If it has a
+    /// key, the key store decides whether it starts, joins another request or is answered at once.
     pub(super) fn handle_arrival(&mut self, now: sr::Time, arrival: Arrival<J>) {
         self.tally.taken += 1;
         let Arrival { ticket, id, class, tenant, deadline, slots, memory, estimate, retry, key, job } =
@@ -31,14 +33,14 @@
         let member = tenant.map_or(keys::Member::NONE, keys::Member);
         let mut prior = None;
         if let (Some(store), Some(key)) = (&mut self.keys, &key) {
-            let asked = keys::KeyedRequest {
+            let keyed_request = keys::KeyedRequest {
                 member,
                 class,
                 key: key.text.as_bytes(),
                 fingerprint: key.fingerprint,
                 retry,
             };
-            match store.admit(now, &asked, keys::RunId(number.into())) {
+            match store.admit(now, &keyed_request, keys::RunId(number.into())) {
                 keys::Admission::New => {}
                 keys::Admission::Resend(sent) => {
                     let place = sent.place.unwrap_or(keys::Place { zone: u32::MAX, cell: 0 });
@@ -59,10 +61,9 @@
         self.requests_by_id.insert(id.clone(), number);
         self.requests_by_ticket.insert(ticket, number);
         let key = key.filter(|_| self.keys.is_some()).map(|key| PendingKey { member, text: key.text });
-        let (waiting, attempts) = (vec![(ticket, deadline)], Vec::new());
-        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent_at), false);
-        let request =
-            Request { waiters: waiting, id, class, deadline, job, key, prior_sent: sent, answered, attempts };
+        let (waiters, attempts) = (vec![(ticket, deadline)], Vec::new());
+        let (prior_sent, answered) = (prior.as_ref().map(|prior| prior.sent_at), false);
+        let request = Request { waiters, id, class, deadline, job, key, prior_sent, answered, attempts };
         self.requests.insert(number, request);
         self.set_timer(deadline, Timer::Deadline(number));
         let arrival = sr::Arrival {
@@ -105,11 +106,11 @@
                 .answer_ticket(ticket, Answer::Failed("an earlier try under this key has just ended"));
         };
         entry.waiters.push((ticket, deadline));
-        let later = deadline > entry.deadline;
+        let extended = deadline > entry.deadline;
         entry.deadline = entry.deadline.max(deadline);
         self.requests_by_ticket.insert(ticket, request);
         self.set_timer(deadline, Timer::Deadline(request));
-        if later {
+        if extended {
             self.notify(now, sr::Event::DeadlineExtended(sr::RequestId(request), deadline));
         }
     }
@@ -130,8 +131,8 @@
     /// Gives the final answer to all waiting tickets, unless the request is already answered.
     pub(super) fn answer_request(&mut self, now: sr::Time, request: u32, answer: Answer) {
         let Some(entry) = self.requests.get_mut(&request).filter(|r| !r.answered) else { return };
-        let waiting = std::mem::take(&mut entry.waiters);
-        for (ticket, _) in waiting {
+        let waiters = std::mem::take(&mut entry.waiters);
+        for (ticket, _) in waiters {
             self.requests_by_ticket.remove(&ticket);
             self.answer_ticket(ticket, answer.clone());
         }
@@ -145,13 +146,13 @@
         entry.answered = true;
         let Some(key) = entry.key.take() else { return };
         let entry = &self.requests[&request];
-        let fate = match (result, self.sends_that_may_have_run(entry)) {
+        let resolution = match (result, self.sends_that_may_have_run(entry)) {
             (Some(result), _) => keys::Resolution::Served(result),
             (None, Some(sent)) => keys::Resolution::MayHaveRun(sent),
             (None, None) => keys::Resolution::NeverRan,
         };
         if let Some(store) = &mut self.keys {
-            store.resolve(now, key.member, entry.class, key.text.as_bytes(), fate);
+            store.resolve(now, key.member, entry.class, key.text.as_bytes(), resolution);
         }
     }
 
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -65,7 +65,7 @@
     file: PathBuf,
     /// Only jobs in this state.
     #[arg(long, value_enum)]
-    state: Option<Standing>,
+    state: Option<JobState>,
     /// Only this member's.
     #[arg(long)]
     member: Option<String>,
@@ -81,7 +81,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Standing {
+enum JobState {
     Waiting,
     Leased,
     Completed,
@@ -89,24 +89,24 @@
     Cancelled,
 }
 
-impl Standing {
-    fn of(job: &Job) -> Standing {
+impl JobState {
+    fn of(job: &Job) -> JobState {
         match job.state {
-            State::Waiting { .. } => Standing::Waiting,
-            State::Leased { .. } => Standing::Leased,
-            State::Completed { .. } => Standing::Completed,
-            State::Dead { .. } => Standing::Dead,
-            State::Cancelled { .. } => Standing::Cancelled,
+            State::Waiting { .. } => JobState::Waiting,
+            State::Leased { .. } => JobState::Leased,
+            State::Completed { .. } => JobState::Completed,
+            State::Dead { .. } => JobState::Dead,
+            State::Cancelled { .. } => JobState::Cancelled,
         }
     }
 
     fn name(self) -> &'static str {
         match self {
-            Standing::Waiting => "waiting",
-            Standing::Leased => "leased",
-            Standing::Completed => "completed",
-            Standing::Dead => "dead",
-            Standing::Cancelled => "cancelled",
+            JobState::Waiting => "waiting",
+            JobState::Leased => "leased",
+            JobState::Completed => "completed",
+            JobState::Dead => "dead",
+            JobState::Cancelled => "cancelled",
         }
     }
 }
@@ -120,7 +120,7 @@
                 let is = |want: &Option<String>, number| {
                     want.as_deref().is_none_or(|w| w == name(&loaded, number))
                 };
-                list.state.is_none_or(|state| state == Standing::of(job))
+                list.state.is_none_or(|state| state == JobState::of(job))
                     && is(&list.member, job.member)
                     && is(&list.class, job.class)
             };
@@ -129,7 +129,7 @@
         }
         JobsCommand::Dead { file, json } => {
             let (_, loaded) = open(file)?;
-            let dead = |job: &&Job| Standing::of(job) == Standing::Dead;
+            let dead = |job: &&Job| JobState::of(job) == JobState::Dead;
             let all: Vec<_> = loaded.jobs.iter().rev().filter(dead).collect();
             print_list(&loaded, &all, *json)
         }
@@ -211,7 +211,7 @@
         "member": name(loaded, job.member),
         "class": name(loaded, job.class),
         "key": job.key.as_ref().map(|key| text(key)),
-        "state": Standing::of(job).name(),
+        "state": JobState::of(job).name(),
         "state_time_unix_ns": at.0,
         "accepted_unix_ns": job.accepted_at.0,
         "lease_s": job.lease.secs(),
@@ -245,7 +245,7 @@
             out,
             "{:>8} {:<10} {:<14} {:<14} {:>2}/{:<2} {:>6} {:>9.1}  {short}",
             job.id.0,
-            Standing::of(job).name(),
+            JobState::of(job).name(),
             name(loaded, job.member),
             name(loaded, job.class),
             job.attempts,
@@ -261,8 +261,8 @@
     let (mut disk, loaded) = open(file)?;
     for id in ids {
         let job = loaded.jobs.iter().find(|job| job.id.0 == *id).ok_or_else(|| no_such_job(*id, file))?;
-        if Standing::of(job) != Standing::Dead {
-            return Err(format!("{id}: is {}, and only a dead job is tried again", Standing::of(job).name()));
+        if JobState::of(job) != JobState::Dead {
+            return Err(format!("{id}: is {}, and only a dead job is tried again", JobState::of(job).name()));
         }
     }
     // Grants no leases and forgets nothing: the dispatcher that opens the store next does that.
@@ -281,8 +281,8 @@
 fn verify(loaded: &StoreContents) -> Vec<String> {
     let mut broken = Vec::new();
     for job in &loaded.jobs {
-        let leased = Standing::of(job) == Standing::Leased;
-        let completed = Standing::of(job) == Standing::Completed;
+        let leased = JobState::of(job) == JobState::Leased;
+        let completed = JobState::of(job) == JobState::Completed;
         for (holds, what) in [
             (job.id.0 < loaded.next_id, "its number may be given again"),
             (job.max_attempts > 0, "it may have no tries"),
@@ -290,7 +290,7 @@
             (u64::from(job.attempts) <= job.epoch.0, "it had more tries than leases"),
             (!(leased || completed) || job.epoch.0 > 0, "it has a worker's state, and never had a lease"),
             (!leased || job.attempts > 0, "it is leased, and had no try"),
-            (Standing::of(job) != Standing::Dead || job.last_error.is_some(), "it is dead of nothing"),
+            (JobState::of(job) != JobState::Dead || job.last_error.is_some(), "it is dead of nothing"),
             ((job.member as usize) < loaded.names.len() || job.member == u32::MAX, "its member has no name"),
             ((job.class as usize) < loaded.names.len(), "its class has no name"),
         ] {
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -91,8 +91,8 @@
         let report = timeout(ANSWER_TIMEOUT, fetch_load(&client, at)).await.ok().flatten();
         let value =
             |name: &String| report.as_ref().and_then(|report| report.get(name)?.as_f64()).unwrap_or(0.0);
-        let figures = shared.config.fields.iter().map(value).collect();
-        let load = Load { runner: runner.clone(), ok: report.is_some(), values: figures };
+        let values = shared.config.fields.iter().map(value).collect();
+        let load = Load { runner: runner.clone(), ok: report.is_some(), values };
         shared.publisher.borrow_mut().record(&load);
     }
 }
--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -17,7 +17,8 @@
 /// A snapshot file, locked by this process.
 pub struct LockedSnapshot {
     file: PathBuf,
-    every: Duration,
+    /// Time between two snapshots.
+    interval: Duration,
     /// Keeps the lock while the process may write.
     _lock: File,
 }
@@ -31,16 +32,20 @@
     pub fn lock(at: &SnapshotFile) -> Result<LockedSnapshot, String> {
         let lock = sibling(&at.file, "lock");
         let open = OpenOptions::new().create(true).truncate(false).write(true).open(&lock);
-        let held = open.map_err(|e| {
+        let lock_file = open.map_err(|e| {
             format!("keys.snapshot.file: {}: {e}; the folder must exist and be writable", lock.display())
         })?;
-        held.try_lock().map_err(|e| {
+        lock_file.try_lock().map_err(|e| {
             format!(
                 "keys.snapshot.file: {}: {e}; another dispatcher uses it: name another file",
                 lock.display()
             )
         })?;
-        Ok(LockedSnapshot { file: at.file.clone(), every: Duration::from_secs_f64(at.every_s), _lock: held })
+        Ok(LockedSnapshot {
+            file: at.file.clone(),
+            interval: Duration::from_secs_f64(at.every_s),
+            _lock: lock_file,
+        })
     }
 
     /// Reads a predecessor's snapshot; `None` if there is none, or none that can be used.
@@ -97,41 +102,41 @@
 /// Takes a snapshot of the dispatcher's keys. `last`: the dispatcher has answered everything and sends
 /// nothing any more.
 pub fn capture(runtime: &Runtime, last: bool) -> Option<Snapshot> {
-    let made = runtime.clock.now();
+    let taken_at = runtime.clock.now();
     let (records, doubt) = runtime.with_keys(|core, store| {
-        (store.records(made, |run| core.sent(run)), store.rejects_unknown_retries(made))
+        (store.records(taken_at, |run| core.sent(run)), store.rejects_unknown_retries(taken_at))
     })?;
     // While it is in doubt what the predecessor did, the snapshot is incomplete for the successor too.
-    let last = last && !doubt;
+    let clean_shutdown = last && !doubt;
     let names = runtime.with_tables(|tables| Names {
         members: tables.tenants.all().to_vec(),
         classes: tables.classes.all().to_vec(),
         zones: tables.zones.all().to_vec(),
     });
-    Some(Snapshot { taken_at: made, clean_shutdown: last, names, records })
+    Some(Snapshot { taken_at, clean_shutdown, names, records })
 }
 
 /// Writes snapshots on a separate thread.
 pub struct Writer {
     queue: SyncSender<Snapshot>,
     thread: JoinHandle<()>,
-    every: Duration,
+    interval: Duration,
 }
 
 impl Writer {
     pub fn start(file: LockedSnapshot) -> Writer {
         // One is written while the next is made. If the disk is slower than that, snapshots are skipped.
         let (queue, snapshots) = sync_channel(1);
-        let every = file.every;
+        let interval = file.interval;
         let thread = std::thread::spawn(move || write_queued(&file, &snapshots));
-        Writer { queue, thread, every }
+        Writer { queue, thread, interval }
     }
 
     /// Makes a snapshot once per interval; never returns.
     pub async fn write_periodically(&self, runtime: &Rc<Runtime>) {
         let mut skipped = 0u64;
         loop {
-            tokio::time::sleep(self.every).await;
+            tokio::time::sleep(self.interval).await;
             let Some(snapshot) = capture(runtime, false) else { continue };
             match self.queue.try_send(snapshot) {
                 Ok(()) => skipped = 0,
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -106,7 +106,7 @@
 
 #[test]
 fn unusual_but_valid_settings_are_accepted() {
-    let most = u64::MAX;
+    let max = u64::MAX;
     for (pointer, value) in [
         ("/reporting/fields", Value::Null),
         ("/reporting/fields", json!([])),
@@ -117,19 +117,19 @@
         ("/projects/0/quotaPerS", json!(1e300)),
         ("/projects/0/quotaPerS", json!(1e-300)),
         ("/services/2/window", Value::Null),
-        ("/services/2/window", json!(most)),
-        ("/services/2/deadline", json!(most)),
+        ("/services/2/window", json!(max)),
+        ("/services/2/deadline", json!(max)),
         ("/balancers", json!(4_000_000_000u32)),
         ("/zone", json!("nowhere")),
         ("/failureDomains", json!([])),
         ("/failureDomains", json!(["east"])),
         ("/rules/drainGrace", json!(0)),
-        ("/rules/drainGrace", json!(most)),
+        ("/rules/drainGrace", json!(max)),
         ("/rules/coldFrom", json!(1)),
         ("/rules/warmAfter", json!(0)),
-        ("/rules/warmAfter", json!(most)),
+        ("/rules/warmAfter", json!(max)),
         ("/rules/fall", json!(0)),
-        ("/rules/fall", json!(most)),
+        ("/rules/fall", json!(max)),
         ("/rules/fallMultiple", json!(1e300)),
         ("/prices", Value::Null),
     ] {
@@ -151,7 +151,7 @@
 
 #[test]
 fn invalid_settings_are_rejected_with_the_name_of_the_key() {
-    let most = u64::MAX;
+    let max = u64::MAX;
     for (pointer, value, key) in [
         ("/balancers", json!(0), "balancers"),
         ("/balancers", Value::Null, "balancers"),
@@ -172,8 +172,8 @@
         ("/projects/1/name", json!("m"), "projects"),
         ("/zone", Value::Null, "zone"),
         ("/tick", json!(0), "tick"),
-        ("/tick", json!(most), "tick"),
-        ("/extra/progress", json!(most), "extra.progress"),
+        ("/tick", json!(max), "tick"),
+        ("/extra/progress", json!(max), "extra.progress"),
         ("/limits/tryLimit", json!(0), "limits.tryLimit"),
         ("/rules/drainGrace", json!(-1), "rules.drainGrace"),
         ("/rules/coldFrom", json!(0), "rules.coldFrom"),
@@ -185,15 +185,15 @@
         ("/prices/crossZone", json!(-1), "prices.crossZone"),
     ] {
         let error = parse(&with(pointer, value.clone()).to_string()).err();
-        let error = error.unwrap_or_else(|| panic!("{pointer} {value} is taken"));
+        let error = error.unwrap_or_else(|| panic!("{pointer} {value} is accepted"));
         assert!(error.contains(key), "{pointer} {value}: {error}");
     }
     // JSON has no literal for NaN or infinity, and a number that is too large must not be read as infinite.
-    for word in ["NaN", "Infinity", "1e999"] {
+    for literal in ["NaN", "Infinity", "1e999"] {
         let text =
-            valid_object().to_string().replacen("\"quotaPerS\":10", &format!("\"quotaPerS\":{word}"), 1);
-        let error = parse(&text).err().unwrap_or_else(|| panic!("a quota of {word} is taken"));
-        assert!(error.contains("quotaPerS"), "{word}: {error}");
+            valid_object().to_string().replacen("\"quotaPerS\":10", &format!("\"quotaPerS\":{literal}"), 1);
+        let error = parse(&text).err().unwrap_or_else(|| panic!("a quota of {literal} is accepted"));
+        assert!(error.contains("quotaPerS"), "{literal}: {error}");
     }
     // A host that creates the settings directly may pass such values.
     for quota_per_s in [f64::NAN, f64::INFINITY, -0.5] {
