--- a/stand-ins/src/hall/node.rs
+++ b/stand-ins/src/hall/node.rs
@@ -1,8 +1,8 @@
-//! One pick node: its connections from dispatchers, what is answered to each request, and the faults that are
-//! drawn for it. It owns those answers; it must never run a job itself.
+//! One pick node: its connections from dispatchers, its answers, and the faults drawn for each attempt.
+//! Jobs run in `job`.
 
 use super::GroundTruth;
-use super::memory::Memory;
+use super::dedup::RepeatFilter;
 use crate::http::Connection;
 use crate::installation::{Class, Faults};
 use serde_json::json;
@@ -18,31 +18,31 @@
     pub(super) hall: String,
     pub(super) speed: f64,
     pub(super) slots: usize,
-    pub(super) free: Semaphore,
+    pub(super) free_slots: Semaphore,
     pub(super) classes: HashMap<String, Class>,
     pub(super) faults: Faults,
-    pub(super) random: Mutex<fastrand::Rng>,
-    pub(super) of_hall: Arc<Memory>,
-    pub(super) of_all: Arc<Memory>,
-    pub(super) truth: Arc<GroundTruth>,
+    pub(super) rng: Mutex<fastrand::Rng>,
+    pub(super) hall_filter: Arc<RepeatFilter>,
+    pub(super) installation_filter: Arc<RepeatFilter>,
+    pub(super) ground_truth: Arc<GroundTruth>,
     pub(super) jobs: Mutex<HashMap<String, Arc<Notify>>>,
-    /// Where call-backs go, and connections to there.
+    /// The call-back address of each dispatcher, and the idle connections to them.
     pub(super) dispatchers: Vec<SocketAddr>,
-    pub(super) idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
+    pub(super) idle_connections: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
-/// What is done to an attempt.
+/// The fault injected into an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Fault {
     None,
-    /// The job runs, but the connection ends before the 202.
+    /// The job runs, but the connection is closed before the 202.
     Reset,
-    /// The job runs, but nobody is told.
+    /// The job runs, but no call-back is sent.
     Silent,
-    /// The job runs and fails.
+    /// The job runs and is reported as failed.
     Error,
-    /// Turned away unseen.
-    Away,
+    /// The attempt is refused with 503 and marked as not processed.
+    NotProcessed,
     /// The job takes longer.
     Slow,
 }
@@ -71,23 +71,25 @@
                     connection.write("HTTP/1.1 404 Not Found", b"").await?;
                 }
                 "POST" => {
-                    self.truth.attempts.fetch_add(1, Relaxed);
-                    let fault = self.fault();
-                    if fault == Fault::Away || !self.classes.contains_key(request.header("x-priority-class"))
+                    self.ground_truth.attempts.fetch_add(1, Relaxed);
+                    let fault = self.draw_fault();
+                    if fault == Fault::NotProcessed
+                        || !self.classes.contains_key(request.header("x-priority-class"))
                     {
                         let head = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1";
                         connection.write(head, b"").await?;
                         continue;
                     }
-                    // Before its first await, so that a repeat behind it finds the key taken.
-                    tokio::spawn(self.clone().job(dispatcher, request, fault));
+                    // The job claims its key before its first await: a repeat behind it finds it claimed.
+                    tokio::spawn(self.clone().run_job(dispatcher, request, fault));
                     if fault == Fault::Reset {
                         return Ok(());
                     }
                     connection.write("HTTP/1.1 202 Accepted", b"").await?;
                 }
                 _ => {
-                    let load = json!({"outstanding": self.inflight(), "x0": self.free.available_permits()});
+                    let load =
+                        json!({"outstanding": self.inflight(), "x0": self.free_slots.available_permits()});
                     connection.write("HTTP/1.1 200 OK", load.to_string().as_bytes()).await?;
                 }
             }
@@ -99,21 +101,21 @@
         self.jobs.lock().expect("no holder panics").len()
     }
 
-    fn fault(&self) -> Fault {
-        let f = &self.faults;
-        let mut point = self.random.lock().expect("no holder panics").f64();
+    fn draw_fault(&self) -> Fault {
+        let faults = &self.faults;
+        let mut draw = self.rng.lock().expect("no holder panics").f64();
         for (share, fault) in [
-            (f.reset, Fault::Reset),
-            (f.silent, Fault::Silent),
-            (f.error, Fault::Error),
-            (f.away, Fault::Away),
-            (f.slow, Fault::Slow),
+            (faults.reset, Fault::Reset),
+            (faults.silent, Fault::Silent),
+            (faults.error, Fault::Error),
+            (faults.away, Fault::NotProcessed),
+            (faults.slow, Fault::Slow),
         ] {
-            if point < share {
-                self.truth.faults.fetch_add(1, Relaxed);
+            if draw < share {
+                self.ground_truth.faults.fetch_add(1, Relaxed);
                 return fault;
             }
-            point -= share;
+            draw -= share;
         }
         Fault::None
     }
