--- a/node/src/admin_calls.rs
+++ b/node/src/admin_calls.rs
@@ -45,7 +45,7 @@
 /// Applies a runner's call-back that the other process of an upgrade forwarded.
 pub fn accept_call_back(runtime: &Runtime, call_back: &str) -> Result<(), String> {
     let call_back: CallBack = serde_json::from_str(call_back).map_err(|e| format!("TOLD: {e}"))?;
-    if !runtime.knows(&call_back.id) {
+    if !runtime.has_request(&call_back.id) {
         return Err("no job of that id is under way here".to_owned());
     }
     log::debug!("request {}: a call-back was handed on", call_back.id);
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -23,7 +23,9 @@
 mod requests;
 mod timers;
 
-pub use input::{Answer, Arrival, AttemptEnd, AttemptId, Effect, Input, Key, ListedRunner, Source, Ticket};
+pub use input::{
+    Answer, Arrival, AttemptEnd, AttemptId, Effect, IdempotencyKey, Input, ListedRunner, Source, Ticket,
+};
 pub use reconfigure::Reconfiguration;
 use timers::Timer;
 
@@ -175,7 +177,7 @@
     }
 
     /// Whether a request with this id is present, answered or not.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn has_request(&self, id: &str) -> bool {
         self.requests_by_id.contains_key(id)
     }
 
@@ -218,7 +220,7 @@
                     if answered { LateReport::None } else { LateReport::Any },
                 );
             }
-            Input::Unusable(attempt) => self.handle_unusable(now, attempt),
+            Input::RequestRejected(attempt) => self.handle_unusable(now, attempt),
             Input::Probed { runner, ok, report } => {
                 if let Some(runner) = self.tables.workers.get(&runner) {
                     self.notify(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
--- a/node/src/core/input.rs
+++ b/node/src/core/input.rs
@@ -36,13 +36,13 @@
     pub estimate: sr::Span,
     pub retry: bool,
     /// The client's idempotency key, if keys are used for the class.
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     pub job: J,
 }
 
 /// A client's idempotency key, and the fingerprint of the request that it identifies.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Key {
+pub struct IdempotencyKey {
     pub text: Rc<str>,
     pub fingerprint: keys::Fingerprint,
 }
@@ -62,7 +62,7 @@
     pub zone: String,
     pub kind: String,
     pub cell: u32,
-    pub standing: sr::WorkerState,
+    pub state: sr::WorkerState,
     pub size: f64,
     pub up_since: Option<sr::Time>,
 }
@@ -122,7 +122,7 @@
     /// A link observed the end of an attempt.
     AttemptEnded(AttemptId, AttemptEnd),
     /// A runner rejected the request of an attempt as invalid.
-    Unusable(AttemptId),
+    RequestRejected(AttemptId),
     Probed {
         runner: String,
         ok: bool,
@@ -163,7 +163,7 @@
             Input::Progress { .. } => "progress",
             Input::Finished { .. } => "told",
             Input::AttemptEnded(..) => "ended",
-            Input::Unusable(_) => "unusable",
+            Input::RequestRejected(_) => "unusable",
             Input::Probed { .. } => "probed",
             Input::Digest(_) => "digest",
             Input::List(..) => "list",
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -15,7 +15,7 @@
     pub rules: Vec<keys::Retention>,
     /// Until when a removed class is still accepted, for requests on their way and clients that do not know
     /// the new settings yet.
-    pub until: sr::Time,
+    pub accept_removed_until: sr::Time,
 }
 
 impl<J: Clone> Core<J> {
@@ -34,7 +34,7 @@
     /// Applies new settings to requests that arrive from now on. Requests in progress keep their class, and
     /// make no more attempts than both settings allow.
     pub(super) fn reconfigure(&mut self, now: sr::Time, reconfiguration: Reconfiguration) {
-        let Reconfiguration { settings, tables, rules, until } = reconfiguration;
+        let Reconfiguration { settings, tables, rules, accept_removed_until: until } = reconfiguration;
         self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let reconciled = reconcile(&self.settings, &mut self.tables, settings, &tables);
--- a/node/src/runtime/reporting.rs
+++ b/node/src/runtime/reporting.rs
@@ -2,7 +2,7 @@
 //! Changes nothing but metrics.
 
 use super::Runtime;
-use crate::core::{Arrival, AttemptId, Core, Input, Key, Tally};
+use crate::core::{Arrival, AttemptId, Core, IdempotencyKey, Input, Tally};
 use crate::metrics::Metrics;
 use crate::runtime::Job;
 use sablerun as sr;
@@ -67,8 +67,8 @@
     }
 
     /// Whether a request with this id is present.
-    pub fn knows(&self, id: &str) -> bool {
-        self.core.borrow().knows(id)
+    pub fn has_request(&self, id: &str) -> bool {
+        self.core.borrow().has_request(id)
     }
 
     /// Reads from the key store, if keys are enabled.
@@ -79,12 +79,12 @@
 
     /// Returns a job's idempotency key, with a fingerprint of the job's path, query and body, if keys are
     /// used for its class. Computes nothing otherwise.
-    pub fn key_of(&self, class: u32, job: &Job) -> Option<Key> {
+    pub fn idempotency_key(&self, class: u32, job: &Job) -> Option<IdempotencyKey> {
         let text = job.key.as_deref().filter(|_| self.core.borrow().wants_key(class))?;
         let digest = Sha256::new().chain_update(&job.target).chain_update([0]).chain_update(&job.body);
         let digest: [u8; 32] = digest.finalize().into();
         let fingerprint = keys::Fingerprint(std::array::from_fn(|n| digest[n]));
-        Some(Key { text: text.into(), fingerprint })
+        Some(IdempotencyKey { text: text.into(), fingerprint })
     }
 
     /// Updates the runner metrics. The set of avoided runners can also change without an input, over time.
