--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -136,8 +136,8 @@
         Member(number) => name(&snapshot.names.members, number).unwrap_or_else(|| number.to_string()),
     };
     let wanted = |record: &&sablerun_keys::Record| {
-        let is = |want: &Option<String>, is: &str| want.as_deref().is_none_or(|want| want == is);
-        is(&args.member, &member_of(record.member)) && is(&args.class, &class_of(record.class))
+        let matches = |want: &Option<String>, name: &str| want.as_deref().is_none_or(|want| want == name);
+        matches(&args.member, &member_of(record.member)) && matches(&args.class, &class_of(record.class))
     };
     let all: Vec<_> = snapshot.records.iter().rev().filter(wanted).collect();
     let count =
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -113,11 +113,11 @@
     }
     if new["settings"] != text["settings"] {
         let rules = key_config.map_or_else(Vec::new, |key_config| key_config.rules(&settings.classes));
-        let until = runtime.clock.now() + sr::Span(runtime.limits.removed_class_grace.as_nanos() as u64);
+        let accept_removed_until =
+            runtime.clock.now() + sr::Span(runtime.limits.removed_class_grace.as_nanos() as u64);
         let (classes, attempts) = (tables.classes.all().join(","), settings.max_attempts);
         runtime.update_longest_deadline(&settings);
-        let reconfiguration =
-            crate::core::Reconfiguration { settings, tables, rules, accept_removed_until: until };
+        let reconfiguration = crate::core::Reconfiguration { settings, tables, rules, accept_removed_until };
         runtime.feed(Input::Reconfigure(Box::new(reconfiguration)));
         runtime.register_classes();
         log::info!(classes = classes.as_str(), attempts = attempts; "new settings are in use");
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -120,7 +120,7 @@
     /// Manually disabled runners: the balancer sees them as draining, whatever the lists say.
     disabled: BTreeSet<u32>,
     /// The listed runners, and whether each is disabled or draining.
-    avoided: BTreeMap<u32, bool>,
+    listed_runners: BTreeMap<u32, bool>,
     /// Events for the balancer that its own actions caused.
     pending_events: VecDeque<sr::Event>,
     actions: Vec<sr::Action>,
@@ -163,7 +163,7 @@
             stop_at: None,
             list_entries: BTreeMap::new(),
             disabled: BTreeSet::new(),
-            avoided: BTreeMap::new(),
+            listed_runners: BTreeMap::new(),
             pending_events: VecDeque::new(),
             actions: Vec::new(),
             effects: Vec::new(),
@@ -220,7 +220,7 @@
                     if answered { LateReport::None } else { LateReport::Any },
                 );
             }
-            Input::RequestRejected(attempt) => self.handle_unusable(now, attempt),
+            Input::RequestRejected(attempt) => self.handle_request_rejected(now, attempt),
             Input::Probed { runner, ok, report } => {
                 if let Some(runner) = self.tables.workers.get(&runner) {
                     self.notify(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -105,7 +105,7 @@
 
     /// Fails a request that its runner rejected as invalid: no other runner could use it either. The balancer
     /// sees the attempt as never sent, so that a bad client does not affect a runner's error rate.
-    pub(super) fn handle_unusable(&mut self, now: sr::Time, attempt: AttemptId) {
+    pub(super) fn handle_request_rejected(&mut self, now: sr::Time, attempt: AttemptId) {
         let request = self.requests.get_mut(&attempt.request);
         let state = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let Some(state) = state.filter(|a| a.live) else { return };
--- a/node/src/core/disabled.rs
+++ b/node/src/core/disabled.rs
@@ -11,7 +11,7 @@
     pub fn runner_counts(&self) -> (usize, usize) {
         let avoided =
             |(worker, avoided): &(&u32, &bool)| **avoided || self.balancer.avoids(sr::WorkerId(**worker));
-        (self.avoided.len(), self.avoided.iter().filter(avoided).count())
+        (self.listed_runners.len(), self.listed_runners.iter().filter(avoided).count())
     }
 
     /// The names of the disabled runners.
@@ -48,7 +48,7 @@
             }
             self.notify(now, sr::Event::List(sr::ListKind::Delta, entries));
         }
-        self.update_avoided();
+        self.update_listed_runners();
         Ok(())
     }
 
@@ -62,13 +62,13 @@
         entries
     }
 
-    /// Updates the set of listed and avoided runners after a list or a manual change.
-    pub(super) fn update_avoided(&mut self) {
+    /// Updates the listed runners, and whether each is avoided, after a list or a manual change.
+    pub(super) fn update_listed_runners(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
         for ((_, worker), entry) in &self.list_entries {
             let avoided = self.disabled.contains(worker) || entry.state != sr::WorkerState::Ready;
             *listed.entry(*worker).or_insert(true) &= avoided;
         }
-        self.avoided = listed;
+        self.listed_runners = listed;
     }
 }
--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -45,7 +45,7 @@
                 self.list_entries.iter().filter(|((from, _), _)| *from != source).map(|(_, e)| e.clone()),
             );
         }
-        self.update_avoided();
+        self.update_listed_runners();
         let changed = self.with_disabled_as_draining(changed);
         self.notify(now, sr::Event::List(kind, changed));
     }
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -34,7 +34,7 @@
     /// Applies new settings to requests that arrive from now on. Requests in progress keep their class, and
     /// make no more attempts than both settings allow.
     pub(super) fn reconfigure(&mut self, now: sr::Time, reconfiguration: Reconfiguration) {
-        let Reconfiguration { settings, tables, rules, accept_removed_until: until } = reconfiguration;
+        let Reconfiguration { settings, tables, rules, accept_removed_until } = reconfiguration;
         self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let reconciled = reconcile(&self.settings, &mut self.tables, settings, &tables);
@@ -49,7 +49,7 @@
             if reconciled.classes.contains(&number) {
                 self.removed_classes.remove(&number);
             } else {
-                self.removed_classes.entry(number).or_insert(until);
+                self.removed_classes.entry(number).or_insert(accept_removed_until);
             }
         }
         self.notify(now, sr::Event::SettingsChanged(Box::new(self.settings.clone())));
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -113,16 +113,16 @@
 
 /// Runs a command. Output is written as it is produced, since the reader may close the pipe early.
 pub fn run(jobs: &Jobs) -> Result<(), String> {
-    let done = match &jobs.command {
+    let result = match &jobs.command {
         JobsCommand::List(list) => {
             let (_, loaded) = open(&list.file)?;
             let wanted = |job: &&Job| {
-                let is = |want: &Option<String>, number| {
+                let matches = |want: &Option<String>, number| {
                     want.as_deref().is_none_or(|w| w == name(&loaded, number))
                 };
                 list.state.is_none_or(|state| state == JobState::of(job))
-                    && is(&list.member, job.member)
-                    && is(&list.class, job.class)
+                    && matches(&list.member, job.member)
+                    && matches(&list.class, job.class)
             };
             let all: Vec<_> = loaded.jobs.iter().rev().filter(wanted).take(list.most).collect();
             print_list(&loaded, &all, list.json)
@@ -171,7 +171,7 @@
             written
         }
     };
-    ignore_broken_pipe(done)
+    ignore_broken_pipe(result)
 }
 
 fn no_such_job(id: u64, file: &Path) -> String {
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -6,10 +6,10 @@
 use std::io::Write;
 
 /// Initializes the log. Must be called only once.
-pub fn start(form: LogFormat) {
+pub fn start(format: LogFormat) {
     let env = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
-    match form {
+    match format {
         LogFormat::Text => builder.format_timestamp_millis(),
         LogFormat::Json => builder.format(|out, record| {
             let mut line = Map::new();
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -23,7 +23,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command.unwrap_or(Command::Run(cli.run)) {
+    let result = match cli.command.unwrap_or(Command::Run(cli.run)) {
         Command::Run(args) => {
             logging::start(args.log);
             return run_service(run(args.config));
@@ -36,7 +36,7 @@
         Command::Keys(args) => cli::keys(&args),
         Command::Jobs(args) => jobs_cli::run(&args),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("sablerun: {message}");
@@ -91,13 +91,14 @@
     let snapshot_file = key_config.as_ref().and_then(|keys| keys.snapshot.clone());
     let clock = Clock::new();
     let store = limits.key_bounds.zip(rules).map(|(bounds, rules)| keys::Store::new(bounds, rules));
-    let place = snapshot_file.as_ref().map(snapshots::LockedSnapshot::lock).transpose()?;
-    let store = store.map(|store| snapshots::restore(store, &doubts, &tables, place.as_ref(), clock.now()));
+    let locked_snapshot = snapshot_file.as_ref().map(snapshots::LockedSnapshot::lock).transpose()?;
+    let store =
+        store.map(|store| snapshots::restore(store, &doubts, &tables, locked_snapshot.as_ref(), clock.now()));
     let runtime = assembly::build_runtime(&config, (settings, tables), clock, limits, store)?;
-    if let (Some(place), Some(now)) = (&place, snapshots::capture(&runtime, false)) {
+    if let (Some(file), Some(snapshot)) = (&locked_snapshot, snapshots::capture(&runtime, false)) {
         // Before the first request: otherwise, after a kill, the successor would trust the snapshot of the
         // previous orderly shutdown as complete.
-        place.write(&now).map_err(|e| format!("keys.snapshot.file: {e}"))?;
+        file.write(&snapshot).map_err(|e| format!("keys.snapshot.file: {e}"))?;
     }
 
     // Bound before anything serves, so that an invalid address makes the start fail.
@@ -178,8 +179,8 @@
             front.reload();
         }
     };
-    let writer = place.map(|place| Rc::new(snapshots::Writer::start(place)));
-    let writing = writer.clone().map(|writer| {
+    let writer = locked_snapshot.map(|file| Rc::new(snapshots::Writer::start(file)));
+    let writer_task = writer.clone().map(|writer| {
         let runtime = runtime.clone();
         actix_rt::spawn(async move { writer.write_periodically(&runtime).await })
     });
@@ -206,12 +207,12 @@
     let (grace, stop) = runtime.shutdown_times();
     log::info!("told to end within {:.3} s: {}", stop.as_secs_f64(), runtime.summary());
     runtime.feed(Input::StopAt(runtime.clock.now() + sr::Span(stop.as_nanos() as u64)));
-    let shared = inherited.is_some();
-    let grace = if shared { Duration::ZERO } else { grace };
-    front.shut_down(Shutdown::new(grace, stop, runtime.limits.flush_timeout), shared).await;
-    if let Some(writing) = writing {
-        writing.abort();
-        let _ = writing.await;
+    let socket_inherited = inherited.is_some();
+    let grace = if socket_inherited { Duration::ZERO } else { grace };
+    front.shut_down(Shutdown::new(grace, stop, runtime.limits.flush_timeout), socket_inherited).await;
+    if let Some(writer_task) = writer_task {
+        writer_task.abort();
+        let _ = writer_task.await;
     }
     if let Some(writer) = writer.and_then(Rc::into_inner) {
         writer.finish(snapshots::capture(&runtime, true));
