--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -105,20 +105,20 @@
         // discovery.
         let free = sockets.saturating_sub(40).max(16);
         let idle = Duration::from_nanos(env.limits.conn_idle.unwrap_or(10_000_000_000));
-        let body = 64 * 1024;
+        let max_body_bytes = 64 * 1024;
         let accepted = free * 3 / 5;
-        let callers = if two_fronts { accepted / 2 } else { 0 };
+        let max_faktory_connections = if two_fronts { accepted / 2 } else { 0 };
         // At most a quarter of the memory may be used for bodies.
-        let fits = memory_mb.max(16) * 1024 * 1024 / 4 / body;
+        let fits = memory_mb.max(16) * 1024 * 1024 / 4 / max_body_bytes;
         let configured =
             env.limits.max_open.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX));
         Limits {
-            max_body_bytes: body,
+            max_body_bytes,
             max_open: fits.min(configured).max(1),
-            max_client_connections: accepted - callers,
-            max_faktory_connections: callers,
+            max_client_connections: accepted - max_faktory_connections,
+            max_faktory_connections,
             // A job's arguments, and as much again for the rest of the job.
-            max_frame_bytes: body * 2,
+            max_frame_bytes: max_body_bytes * 2,
             max_runner_connections: free - accepted,
             backlog: 1024,
             max_connection_age: Duration::from_secs(24 * 3600),
