--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -1,8 +1,7 @@
 //! The reducer: every change of the dispatcher's state is one [`Core::step`], with `(now, input)` in and
 //! [`Effect`]s out. It guarantees that each request gets exactly one final answer, by its deadline, and
-//! that a runner holds at most one attempt of a request at a time.
-//!
-//! Contains no I/O, reads no clock and knows no wire format; scheduling decisions are the balancer's.
+//! that a runner holds at most one attempt of a request at a time. Contains no I/O, reads no clock and knows
+//! no wire format; scheduling decisions are the balancer's.
 
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -39,8 +38,7 @@
     late_report: LateReport,
 }
 
-/// What a runner may still report about an attempt that has ended. A report names the request, not the
-/// attempt, so a late one could be mistaken for one about a newer attempt at the same runner.
+/// What a runner may still report about an ended attempt: a report names the request, not the attempt.
 #[derive(PartialEq)]
 enum LateReport {
     /// Nothing: the attempt was answered, or never began.
@@ -58,8 +56,7 @@
 }
 
 struct Request<J> {
-    /// The tickets that wait for the answer, each with its deadline: the first client's, and those of
-    /// repeats that joined.
+    /// The waiting tickets with their deadlines: the first client's, and those of repeats that joined.
     waiters: Vec<(Ticket, sr::Time)>,
     id: Rc<str>,
     class: u32,
@@ -129,8 +126,7 @@
 }
 
 impl<J: Clone> Core<J> {
-    /// Creates a dispatcher that starts now, gets its runner list from `discovery` and holds at most
-    /// `max_open` requests at once.
+    /// Creates a dispatcher that gets its runner list from `discovery` and holds at most `max_open` requests.
     ///
     /// # Errors
     ///
@@ -186,8 +182,7 @@
         self.requests_by_ticket.len()
     }
 
-    /// The number of requests in memory, answered or not, and of their ids. Both are 0 when nothing is in
-    /// progress.
+    /// The number of requests in memory, answered or not, and of their ids; both are 0 when idle.
     pub fn retained(&self) -> (usize, usize) {
         (self.requests.len(), self.requests_by_id.len())
     }
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -92,7 +92,7 @@
         *self.list_source.borrow_mut() = Some(source);
     }
 
-    /// Follows a digest with a frame every `interval`, which is fresh for `max_silence` after each.
+    /// Follows a digest with a frame every `interval`, which is fresh for `silence` after each.
     pub fn set_digest_source(&self, source: Rc<dyn DigestSource>, interval: sr::Span, max_silence: sr::Span) {
         self.core.borrow_mut().follow_digest(interval, max_silence);
         *self.digest_source.borrow_mut() = Some(source);
