--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -1,6 +1,5 @@
-//! Runs the core: feeds it inputs one at a time, applies the effects that it returns, wakes it when a timer
-//! is due and holds the shutdown state. The dispatcher's state changes only through [`Core::step`]; the
-//! wire protocols are in `net`.
+//! Runs the core: feeds it inputs one at a time, applies its effects, wakes it when a timer is due and holds
+//! the shutdown state. The dispatcher's state changes only through [`Core::step`]; protocols are in `net`.
 
 mod clock;
 mod job;
@@ -34,7 +33,6 @@
     pub clock: Clock,
     core: RefCell<Core<Rc<Job>>>,
     pending_inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
-    /// Whether an input is being processed: further ones are queued.
     stepping: Cell<bool>,
     links: RefCell<Vec<Rc<dyn Link>>>,
     list_source: RefCell<Option<Rc<dyn RunnerListSource>>>,
@@ -48,9 +46,7 @@
     admin_result: RefCell<Option<(u64, Result<(), &'static str>)>>,
     /// The last number given to a ticket or an operator's call.
     last_ticket: Cell<u64>,
-    /// When the runner metrics were last updated.
     runners_counted_at: Cell<Instant>,
-    /// Notified when the core's next timer changes.
     timer_changed: Notify,
     stopping: Cell<bool>,
     /// The longest deadline of the settings in force.
@@ -92,7 +88,7 @@
         *self.list_source.borrow_mut() = Some(source);
     }
 
-    /// Follows a digest with a frame every `interval`, which is fresh for `silence` after each.
+    /// Follows a digest with a frame every `interval`, which is fresh for `max_silence` after each.
     pub fn set_digest_source(&self, source: Rc<dyn DigestSource>, interval: sr::Span, max_silence: sr::Span) {
         self.core.borrow_mut().follow_digest(interval, max_silence);
         *self.digest_source.borrow_mut() = Some(source);
