--- a/node/tests/bad_input.rs
+++ b/node/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! What clients and configurations may send: each gets its clear error in time, and nobody else is hurt.
+//! Invalid input from clients and configurations: each gets a clear error in time, and other clients are
+//! unaffected.
 
 mod common;
 
@@ -13,9 +14,9 @@
 fn bad_input_gets_its_status() {
     let (_discovery, runner, program) = one_runner();
     let status = |head: &str, body: &str| call(program.address, head, body).status();
-    let good = api_request("pick-route", "good", "100m", "");
+    let valid = api_request("pick-route", "good", "100m", "");
     let without = |name: &str| {
-        let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
+        let lines = valid.split("\r\n").filter(|line| !line.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
     };
     for name in ["X-Request-ID", "X-Priority-Class", "X-Timeout", "X-Tenant-Id"] {
@@ -34,34 +35,34 @@
         ("100m", "100m\r\nX-Attrs: slots"),
         ("100m", "100m\r\nX-Attrs: slots=-2"),
     ] {
-        assert_eq!(status(&good.replace(from, to), "x"), 400, "{to}");
+        assert_eq!(status(&valid.replace(from, to), "x"), 400, "{to}");
     }
-    assert_eq!(status(&good, &"x".repeat(64 * 1024 + 1)), 413);
+    assert_eq!(status(&valid, &"x".repeat(64 * 1024 + 1)), 413);
     assert_eq!(status("GET /api HTTP/1.1", ""), 405);
     assert_eq!(status("POST /up HTTP/1.1", ""), 405);
     assert_eq!(status("GET /v1/job-events HTTP/1.1", ""), 405);
     assert_eq!(status("GET /elsewhere HTTP/1.1", ""), 404);
     assert_eq!(runner.events.count("POST"), 0);
-    // A body of just the size passes, and microseconds are a unit too.
+    // A body of exactly the maximum size passes, and microseconds are a valid unit.
     let answer =
         call(program.address, &api_request("pick-route", &new_id(), "5000000u", ""), &"x".repeat(64 * 1024));
     assert_eq!(answer.status(), 200);
 }
 
-/// What is written, as it comes back: the status, and that nothing but the stream's end follows. A
-/// reset in place of the end would mean that the answer may get lost on its way.
-fn last_words(stream: &mut TcpStream, what: &str) -> u16 {
+/// Returns the status of the last response on a connection, after which the stream must end. A reset instead
+/// of an end could lose the response in transit.
+fn read_last_status(stream: &mut TcpStream, context: &str) -> u16 {
     stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     let mut text = String::new();
-    stream.read_to_string(&mut text).unwrap_or_else(|e| panic!("{what}: {e}"));
-    assert_eq!(text.matches("HTTP/1.1").count(), 1, "{what}: {text}");
+    stream.read_to_string(&mut text).unwrap_or_else(|e| panic!("{context}: {e}"));
+    assert_eq!(text.matches("HTTP/1.1").count(), 1, "{context}: {text}");
     text.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-/// After an error on framing nothing that follows can be trusted: an error, then the end, and nothing
-/// of it goes on to a runner, above all no request that is hidden in another's body.
+/// After a framing error nothing that follows can be trusted: the client gets an error and the connection
+/// closes. Nothing of it is sent to a runner, in particular no request hidden in the body of another.
 #[test]
-fn what_cannot_be_framed_gets_an_error_and_the_end_and_is_not_sent_on() {
+fn a_request_with_invalid_framing_gets_an_error_and_is_not_sent_to_a_runner() {
     let (_discovery, runner, program) = one_runner();
     let hidden = format!(
         "{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx",
@@ -85,19 +86,20 @@
         let mut stream = TcpStream::connect(program.address).unwrap();
         let head = api_request("bin-check", &new_id(), "5000m", "");
         write!(stream, "{head}\r\nHost: t\r\n{framing}\r\n\r\n{body}").unwrap();
-        assert!((400..500).contains(&last_words(&mut stream, &framing)), "{framing}");
+        assert!((400..500).contains(&read_last_status(&mut stream, &framing)), "{framing}");
     }
     for text in ["no request at all\r\n\r\n", "GET /up HTTP/1.1\r\n\r\n", "\0\0\0\0\r\n\r\n"] {
         let mut stream = TcpStream::connect(program.address).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
-        assert_eq!(last_words(&mut stream, text), 400);
+        assert_eq!(read_last_status(&mut stream, text), 400);
     }
     assert_eq!(runner.events.all(), Vec::<String>::new());
 }
 
-/// What is far too large is turned down at once, and the answer arrives although the client writes on.
+/// A body or head that is far too large is refused at once, and the answer arrives although the client goes
+/// on writing.
 #[test]
-fn what_is_too_large_gets_its_answer_however_much_is_sent() {
+fn an_oversized_request_gets_its_answer_however_much_is_sent() {
     let (_discovery, _runner, program) = one_runner();
     let mut stream = TcpStream::connect(program.address).unwrap();
     let body = vec![b'x'; 8 * 1024 * 1024];
@@ -110,19 +112,19 @@
     .unwrap();
     stream.write_all(&body).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(last_words(&mut stream, "body"), 413);
-    // A head far over the size, but within what actix-http would take.
+    assert_eq!(read_last_status(&mut stream, "body"), 413);
+    // A head far over the limit, but within the limit of actix-http.
     let mut stream = TcpStream::connect(program.address).unwrap();
     write!(stream, "GET /up HTTP/1.1\r\nX: {}", "x".repeat(32 * 1024)).unwrap();
-    assert_eq!(last_words(&mut stream, "head"), 431);
+    assert_eq!(read_last_status(&mut stream, "head"), 431);
 }
 
-/// Whoever says nothing, or breaks off in the midst of a head or body, hears so and is let go, also on
-/// a connection that has carried a request; one that rests between requests is left alone.
+/// A client that sends nothing, or stops within a head or body, gets a 408 and is closed, also on a
+/// connection that has carried a request. A connection that is idle between requests stays open.
 #[test]
-fn what_does_not_come_to_its_end_is_not_waited_for() {
+fn an_incomplete_request_times_out() {
     let (_discovery, runner, program) = one_runner();
-    let served = || {
+    let served_connection = || {
         let mut stream = TcpStream::connect(program.address).unwrap();
         let id = new_id();
         write!(
@@ -131,62 +133,62 @@
             api_request("short-pick", &id, "5000m", "")
         )
         .unwrap();
-        assert_eq!(answer(&stream).unwrap().status(), 200);
+        assert_eq!(read_answer(&stream).unwrap().status(), 200);
         stream
     };
-    let rests = served();
-    let half = format!(
+    let idle = served_connection();
+    let half_body = format!(
         "{}\r\nHost: t\r\nContent-Length: 100\r\n\r\nx",
         api_request("bin-check", &new_id(), "5000m", "")
     );
-    let fresh = || TcpStream::connect(program.address).unwrap();
+    let new_connection = || TcpStream::connect(program.address).unwrap();
     let mut streams = [
-        (fresh(), ""),
-        (fresh(), "POST /api"),
-        (fresh(), half.as_str()),
-        (served(), "POST"),
-        (served(), half.as_str()),
+        (new_connection(), ""),
+        (new_connection(), "POST /api"),
+        (new_connection(), half_body.as_str()),
+        (served_connection(), "POST"),
+        (served_connection(), half_body.as_str()),
     ];
     for (stream, text) in &mut streams {
         stream.write_all(text.as_bytes()).unwrap();
     }
     for (stream, text) in &mut streams {
-        assert_eq!(last_words(stream, text), 408, "{text}");
+        assert_eq!(read_last_status(stream, text), 408, "{text}");
     }
     assert_eq!(runner.events.count("POST"), 3);
-    write!(&rests, "GET /up HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
-    assert_eq!(answer(&rests).unwrap().status(), 200);
+    write!(&idle, "GET /up HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
+    assert_eq!(read_answer(&idle).unwrap().status(), 200);
 }
 
-/// Hundreds that connect and say nothing: a client that comes after them finds a place before their
-/// time is up, and one that was there keeps its own.
+/// Many connections that send nothing: a later client gets a connection before they time out, and an existing
+/// one keeps its own.
 #[test]
-fn silent_connections_cost_clients_nothing() {
-    let (_discovery, _runner, program) = one_runner_on(64);
-    let ask = |stream: &mut TcpStream| {
+fn silent_connections_do_not_block_clients() {
+    let (_discovery, _runner, program) = one_runner_with_descriptors(64);
+    let send_job = |stream: &mut TcpStream| {
         write!(
             stream,
             "{}\r\nHost: t\r\nContent-Length: 1\r\n\r\nx",
             api_request("short-pick", &new_id(), "5000m", "")
         )
         .unwrap();
-        answer(stream).unwrap()
+        read_answer(stream).unwrap()
     };
-    let mut there = TcpStream::connect(program.address).unwrap();
-    assert_eq!(ask(&mut there).status(), 200);
+    let mut existing = TcpStream::connect(program.address).unwrap();
+    assert_eq!(send_job(&mut existing).status(), 200);
     let _silent: Vec<_> = (0..40).map(|_| TcpStream::connect(program.address).unwrap()).collect();
-    let late = ask(&mut TcpStream::connect(program.address).unwrap());
-    let again = ask(&mut there);
+    let late = send_job(&mut TcpStream::connect(program.address).unwrap());
+    let again = send_job(&mut existing);
     assert_eq!((late.status(), again.status()), (200, 200));
     assert_eq!((late.headers.get("connection"), again.headers.get("connection")), (None, None));
 }
 
 #[test]
-fn bad_configuration_ends_it_with_one_line_that_names_the_key() {
+fn an_invalid_configuration_ends_the_program_with_one_line_that_names_the_key() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let good = Program::config(discovery, settings());
+    let valid = Program::config(discovery, settings());
     let with = |pointer: &str, value: Value| {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         *config.pointer_mut(pointer).unwrap() = value;
         config
     };
@@ -203,12 +205,12 @@
         (with("/settings/projects/0/quotaPerS", json!(-1)), None, "projects.quotaPerS"),
         (with("/settings/projects/0/quotaPerS", json!("many")), None, "settings.projects[0].quotaPerS"),
         (with("/settings/rules/fallMultiple", json!(0)), None, "rules.fallMultiple"),
-        (good.clone(), gateway("class = \"wave-release\"", "class = \"waves\""), "route.class"),
-        (good.clone(), gateway("plaintext = true", ""), "plaintext"),
-        (good.clone(), gateway("fetch_wait_ms = 200", "fetch_wait = 200"), "fetch_wait"),
-        (good.clone(), gateway("fetch_wait_ms = 200", "fetch_wait_ms = \"long\""), "fetch_wait_ms"),
-        (good.clone(), gateway("zone = \"hall-a\"", "zone = \"hall-z\""), "zone"),
-        (good.clone(), gateway("listen = ", "listen = = "), "gateway.toml"),
+        (valid.clone(), gateway("class = \"wave-release\"", "class = \"waves\""), "route.class"),
+        (valid.clone(), gateway("plaintext = true", ""), "plaintext"),
+        (valid.clone(), gateway("fetch_wait_ms = 200", "fetch_wait = 200"), "fetch_wait"),
+        (valid.clone(), gateway("fetch_wait_ms = 200", "fetch_wait_ms = \"long\""), "fetch_wait_ms"),
+        (valid.clone(), gateway("zone = \"hall-a\"", "zone = \"hall-z\""), "zone"),
+        (valid.clone(), gateway("listen = ", "listen = = "), "gateway.toml"),
     ] {
         let mut command = Program::command(&config, gateway.as_deref());
         let output = command.env("RUST_LOG", "info").stderr(Stdio::piped()).output().unwrap();
@@ -218,29 +220,30 @@
     }
 }
 
-/// More clients than descriptors: they wait or are turned away, and the program lives.
+/// More clients than descriptors: they wait or get an error, and the program keeps running.
 #[test]
-fn at_the_descriptor_limit_it_degrades_and_lives() {
-    let (_discovery, _runner, program) = one_runner_on(64);
+fn at_the_descriptor_limit_the_program_degrades_and_keeps_running() {
+    let (_discovery, _runner, program) = one_runner_with_descriptors(64);
     let _idle: Vec<_> = (0..14).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     let clients: Vec<_> = (0..40)
         .map(|_| {
-            let at = program.address;
+            let address = program.address;
             thread::spawn(move || {
-                call(at, &api_request("short-pick", &new_id(), "5000m", ""), "early").status()
+                call(address, &api_request("short-pick", &new_id(), "5000m", ""), "early").status()
             })
         })
         .collect();
-    // A runner's call-back must find a connection too: the idle ones are closed to make room.
-    let heard: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
-    assert!(heard.iter().all(|status| [200, 503, 502].contains(status)), "{heard:?}");
+    // The runner's call-back needs a connection too: idle ones are closed to make room.
+    let statuses: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+    assert!(statuses.iter().all(|status| [200, 503, 502].contains(status)), "{statuses:?}");
     assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
 }
 
-/// A tenant that the settings do not name: an error that names the header, and the next request is served.
+/// A tenant that the settings do not name gets an error that names the header, and the next request is
+/// served.
 #[test]
-fn an_unknown_tenant_is_turned_down_by_name() {
-    let (_discovery, _runner, program) = one_runner_on(64);
+fn an_unknown_tenant_gets_an_error_that_names_the_header() {
+    let (_discovery, _runner, program) = one_runner_with_descriptors(64);
     let head = api_request("short-pick", &new_id(), "5000m", "").replace("mehran-dist", "nobody-known");
     let answer = call(program.address, &head, "early");
     assert_eq!(answer.status(), 400);
--- a/node/tests/common/halls.rs
+++ b/node/tests/common/halls.rs
@@ -1,4 +1,4 @@
-//! Two halls with a runner each and clients with keys, for the tests of idempotency keys.
+//! Two halls with one runner each, and clients that send idempotency keys.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -6,20 +6,21 @@
 use serde_json::json;
 use std::net::TcpStream;
 
-pub const KEYS: &str = "[keys]\nkey_bytes = 256\n";
+/// Operator settings with idempotency keys and no Faktory front.
+pub const KEYS_ON_HTTP: &str = "[keys]\nkey_bytes = 256\n";
 
-/// Two halls with a runner each, both told of.
-pub struct Halls {
+/// Two halls with one runner each, both known to discovery.
+pub struct TwoHalls {
     pub discovery: Discovery,
     pub runners: [Runner; 2],
 }
 
-impl Halls {
-    pub fn start() -> Halls {
+impl TwoHalls {
+    pub fn start() -> TwoHalls {
         let runners = [Runner::start("s-0"), Runner::start("s-1")];
         let hosts = [("s-0", "hall-a"), ("s-1", "hall-b")];
         let hosts = hosts.iter().zip(&runners).map(|((name, hall), r)| host(name, r.address, hall, "active"));
-        Halls { discovery: Discovery::start(hosts.collect()), runners }
+        TwoHalls { discovery: Discovery::start(hosts.collect()), runners }
     }
 
     pub fn program(&self, operator: &str) -> Program {
@@ -28,29 +29,32 @@
         program
     }
 
-    /// Jobs that the halls were sent, with their words.
-    pub fn sent(&self, word: &str) -> usize {
-        self.runners.iter().map(|runner| runner.events.count(&format!("POST {word}"))).sum()
+    /// Returns how many jobs with this behaviour the runners received.
+    pub fn jobs_received(&self, behaviour: &str) -> usize {
+        self.runners.iter().map(|runner| runner.events.count(&format!("POST {behaviour}"))).sum()
     }
 
-    /// Waits for a job at either runner; which one it was.
-    pub fn wait(&self, word: &str) -> usize {
-        // One of the two sees it; polled, since either may.
+    /// Waits for a job with this behaviour at either runner and returns the index of that runner.
+    pub fn wait_for_job(&self, behaviour: &str) -> usize {
+        // Polled, since either runner may receive the job.
         for _ in 0..4000 {
-            if let Some(n) = self.runners.iter().position(|r| r.events.count(&format!("POST {word}")) > 0) {
-                return n;
+            if let Some(index) =
+                self.runners.iter().position(|r| r.events.count(&format!("POST {behaviour}")) > 0)
+            {
+                return index;
             }
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
-        panic!("no runner saw {word}");
+        panic!("no runner received {behaviour}");
     }
 }
 
-pub fn head(class: &str, id: &str, key: &str, timeout: &str, more: &str) -> String {
-    api_request(class, id, timeout, more).replace(&format!("key-{id}"), key)
+/// Returns the head of a client request with this idempotency key.
+pub fn request_head(class: &str, id: &str, key: &str, timeout: &str, more_headers: &str) -> String {
+    api_request(class, id, timeout, more_headers).replace(&format!("key-{id}"), key)
 }
 
-/// Sends a request and waits until the dispatcher has it.
+/// Sends a request and waits until the dispatcher has logged it.
 pub fn open_keyed(
     program: &Program,
     class: &str,
@@ -59,28 +63,37 @@
     body: &str,
 ) -> (TcpStream, String) {
     let id = new_id();
-    let stream = begin(program, &head(class, &id, key, timeout, ""), body);
+    let stream = send_request(program, &request_head(class, &id, key, timeout, ""), body);
     program.log.wait(&format!("request {id} of class"), 1);
     (stream, id)
 }
 
-pub fn outcome(stream: &TcpStream) -> (u16, String) {
-    let message = answer(stream).expect("an answer");
+/// Returns the status and body of the answer on a connection.
+pub fn read_result(stream: &TcpStream) -> (u16, String) {
+    let message = read_answer(stream).expect("an answer");
     (message.status(), message.body)
 }
 
-pub fn ask(program: &Program, class: &str, key: &str, body: &str, more: &str) -> (u16, String) {
-    let message = call(program.address, &head(class, &new_id(), key, "5000m", more), body);
+/// Sends a request with a new id and returns the status and body of its answer.
+pub fn send_keyed(
+    program: &Program,
+    class: &str,
+    key: &str,
+    body: &str,
+    more_headers: &str,
+) -> (u16, String) {
+    let message = call(program.address, &request_head(class, &new_id(), key, "5000m", more_headers), body);
     (message.status(), message.body)
 }
 
-pub fn done(program: &Program, id: &str, from: &str) {
+/// Calls back as the runner `from`: the job is done.
+pub fn report_done(program: &Program, id: &str, from: &str) {
     let body = json!({"id": id, "from": from, "state": "done", "result": "made once"}).to_string();
     assert_eq!(call(program.address, "POST /v1/job-events HTTP/1.1", &body).status(), 200);
 }
 
-/// Keys on both fronts.
-pub const BOTH: &str = r#"
+/// Operator settings with idempotency keys on both fronts.
+pub const KEYS_ON_BOTH_FRONTS: &str = r#"
 [keys]
 
 [faktory]
--- a/node/tests/common/raw.rs
+++ b/node/tests/common/raw.rs
@@ -1,5 +1,5 @@
-//! A runner whose every byte the test writes, and one whose connections don't come up until the test lets
-//! them. Both act on what arrives, never on time.
+//! A runner whose every byte the test writes, and a listener that accepts connections only when the test lets
+//! it. Both react to events and never to elapsed time.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -10,16 +10,17 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// A connection to a raw runner, by its place among those that came up.
+/// A connection to a raw runner, numbered in the order of acceptance.
 #[derive(Debug)]
-pub struct Line {
+pub struct RawConnection {
     pub number: usize,
     stream: TcpStream,
 }
 
-impl Line {
+impl RawConnection {
     pub fn write(&mut self, text: &str) {
-        // The other side may have closed it: what is tested then is what it made of the text, if anything.
+        // The program may have closed the connection; the test then checks how it treated the text, if at
+        // all.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
@@ -33,76 +34,77 @@
 }
 
 pub struct RawRunner {
-    pub at: SocketAddr,
-    asked: mpsc::Receiver<(Line, Message)>,
+    pub address: SocketAddr,
+    requests: mpsc::Receiver<(RawConnection, Message)>,
 }
 
 impl RawRunner {
     pub fn start() -> RawRunner {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (at, (tell, asked)) = (listener.local_addr().unwrap(), mpsc::channel());
+        let (address, (sender, requests)) = (listener.local_addr().unwrap(), mpsc::channel());
         thread::spawn(move || {
             for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                let tell = tell.clone();
+                let sender = sender.clone();
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(message) = read_message(&mut reader) {
-                        let line = Line { number, stream: stream.try_clone().unwrap() };
-                        if tell.send((line, message)).is_err() {
+                        let connection = RawConnection { number, stream: stream.try_clone().unwrap() };
+                        if sender.send((connection, message)).is_err() {
                             return;
                         }
                     }
                 });
             }
         });
-        RawRunner { at, asked }
+        RawRunner { address, requests }
     }
 
-    /// The next request of this method, by whatever connection; others in between get no answer.
-    pub fn next(&self, method: &str) -> (Line, Message) {
+    /// Returns the next request with this method, on any connection. Requests with other methods are
+    /// discarded unanswered.
+    pub fn next_request(&self, method: &str) -> (RawConnection, Message) {
         loop {
-            let (line, message) = self.asked.recv_timeout(EVENT_TIMEOUT).expect(method);
+            let (connection, message) = self.requests.recv_timeout(EVENT_TIMEOUT).expect(method);
             if message.method == method {
-                return (line, message);
+                return (connection, message);
             }
         }
     }
 }
 
-/// A listener that is full: whoever connects waits until it is let in.
-pub struct FullRunner {
-    pub at: SocketAddr,
+/// A listener with a full accept queue: connection attempts stay pending until `accept_and_read`.
+pub struct FullListener {
+    pub address: SocketAddr,
     listener: Socket,
     filler: TcpStream,
 }
 
-impl FullRunner {
-    pub fn start() -> FullRunner {
+impl FullListener {
+    pub fn start() -> FullListener {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        // Room for a single connection that nobody has accepted.
+        // A backlog of 0 leaves room for one connection that is not accepted; `filler` takes it.
         listener.listen(0).unwrap();
-        let at = listener.local_addr().unwrap().as_socket().unwrap();
-        FullRunner { at, filler: TcpStream::connect(at).unwrap(), listener }
+        let address = listener.local_addr().unwrap().as_socket().unwrap();
+        FullListener { address, filler: TcpStream::connect(address).unwrap(), listener }
     }
 
-    /// Waits until somebody has called, and in vain: the system's table of connections says so. It calls again
-    /// by itself after a second.
-    pub fn called(&self) {
-        let calls = format!(":{:04X} 02 ", self.at.port());
+    /// Waits until a connection attempt to the listener is pending (SYN_SENT in the system's connection
+    /// table). The system retries it after a second.
+    pub fn wait_for_connect(&self) {
+        let syn_sent_entry = format!(":{:04X} 02 ", self.address.port());
         let end = std::time::Instant::now() + EVENT_TIMEOUT;
-        while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&calls) {
-            assert!(std::time::Instant::now() < end, "nobody calls");
+        while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&syn_sent_entry) {
+            assert!(std::time::Instant::now() < end, "no connection attempt");
             thread::yield_now();
         }
     }
 
-    /// Lets in whoever waits: what comes first by that connection, if anything does.
-    pub fn let_in(self) -> String {
-        let own = self.filler.local_addr().unwrap();
+    /// Accepts the pending connection and returns the first bytes read from it, empty if it ends without any.
+    pub fn accept_and_read(self) -> String {
+        let filler_address = self.filler.local_addr().unwrap();
         loop {
             let (stream, from) = self.listener.accept().unwrap();
-            if from.as_socket() != Some(own) {
+            if from.as_socket() != Some(filler_address) {
                 let (mut stream, mut first) = (TcpStream::from(stream), [0; 4096]);
                 stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
                 let read = stream.read(&mut first).unwrap();
--- a/node/tests/digest_files.rs
+++ b/node/tests/digest_files.rs
@@ -1,4 +1,5 @@
-//! The files of a load digest, the publisher's and the operator's section: what makes no sense is named by its key.
+//! The load digest's settings: the publisher's file and the `[digest]` section of the operator's file. An
+//! error names the key at fault.
 
 use sablerun_node::operator::Operator;
 use sablerun_node::publisher::Config;
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn the_file_that_we_ship_is_taken() {
+fn the_shipped_file_is_valid() {
     let text = std::fs::read_to_string("../deploy/digest.toml").unwrap();
     let shipped = Config::parse(&text).unwrap();
     let defaults = Config::parse(PUBLISHER).unwrap();
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_publishers_file_that_makes_no_sense_names_its_key() {
+fn an_error_in_a_publishers_file_names_the_key() {
     for (line, key) in [
         ("every_ms = 0", "every_ms"),
         ("every_ms = -1", "every_ms"),
@@ -48,11 +49,11 @@
 }
 
 #[test]
-fn an_operators_section_that_makes_no_sense_names_its_key() {
+fn an_error_in_an_operators_section_names_the_key() {
     let section = |lines: &str| format!("[digest]\nat = \"127.0.0.1:7500\"\n{lines}\n");
-    let good = Operator::parse(&section("")).unwrap();
-    assert!(good.check(&tables(), 256).is_ok());
-    let digest = good.digest.unwrap();
+    let valid = Operator::parse(&section("")).unwrap();
+    assert!(valid.check(&tables(), 256).is_ok());
+    let digest = valid.digest.unwrap();
     assert_eq!((digest.every_s, digest.silent_s), (1.0, 3.0));
     for (lines, key) in [
         ("every_s = 0.0", "digest: every_s"),
--- a/node/tests/faktory_model.rs
+++ b/node/tests/faktory_model.rs
@@ -1,5 +1,5 @@
-//! Random lines against a model of a Faktory connection's states: new, a client's, a worker's, closed.
-//! Whatever comes, cut anywhere, the reply is the one that the state allows.
+//! Random lines against a model of a Faktory connection's states: new, client, worker, closed. Whatever lines
+//! arrive, in chunks of any size, the reply is the one that the state allows.
 
 #[path = "common/env.rs"]
 mod env;
@@ -23,7 +23,7 @@
     Closed,
 }
 
-/// The lines, and the reply that each state gives; no reply is the end of the connection.
+/// Returns the next state and the start of the reply to a line; no reply means that the connection ends.
 fn reply(state: State, line: &str) -> (State, Option<&'static str>) {
     use State::*;
     let worker = |reply| if state == Worker { (Worker, Some(reply)) } else { (state, Some("-ERR DENIED")) };
@@ -36,7 +36,7 @@
         (_, "INFO") => (state, Some("$")),
         (_, "FLUSH") => (state, Some("-ERR DENIED")),
         (_, "PUSH {}") => (state, Some("-ERR MALFORMED PUSH")),
-        // Nobody runs it: refused when its aim is past.
+        // No worker runs it, so it is refused once its objective has passed.
         (_, line) if line.starts_with("PUSH ") => (state, Some("-ERR REFUSED retry_after=")),
         (_, "FETCH q") => worker("$-1"),
         (_, r#"ACK {"jid":"12345678"}"# | r#"FAIL {"jid":"12345678"}"# | r#"BEAT {"wid":"w"}"#) => {
@@ -99,38 +99,40 @@
     front
 }
 
-async fn converse(lines: Vec<usize>, cut: usize) {
+async fn run_conversation(lines: Vec<usize>, chunk_size: usize) {
     let front = front();
-    let (near, far) = tokio::io::duplex(256);
+    let (client_end, server_end) = tokio::io::duplex(256);
     let peer = front.plaintext_peer(([127, 0, 0, 1], 1).into());
-    let ended = actix_rt::spawn(front.serve_connection(far, peer));
-    let (reading, mut writing) = tokio::io::split(near);
-    let mut reading = BufReader::new(reading);
-    let mut said = String::new();
-    reading.read_line(&mut said).await.unwrap();
-    assert_eq!(said, "+HI {\"v\":2}\r\n");
+    let server_task = actix_rt::spawn(front.serve_connection(server_end, peer));
+    let (reader, mut writer) = tokio::io::split(client_end);
+    let mut reader = BufReader::new(reader);
+    let mut text = String::new();
+    reader.read_line(&mut text).await.unwrap();
+    assert_eq!(text, "+HI {\"v\":2}\r\n");
     let mut state = State::New;
     for line in lines.into_iter().map(|n| LINES[n]) {
-        let (after, expected) = reply(state, line);
-        for part in format!("{line}\r\n").as_bytes().chunks(cut) {
-            // It may have closed already.
-            let _ = writing.write_all(part).await;
+        let (next_state, expected) = reply(state, line);
+        for part in format!("{line}\r\n").as_bytes().chunks(chunk_size) {
+            // The connection may be closed already.
+            let _ = writer.write_all(part).await;
             tokio::task::yield_now().await;
         }
-        said.clear();
-        let _ = reading.read_line(&mut said).await;
+        text.clear();
+        let _ = reader.read_line(&mut text).await;
         match expected {
-            None => assert_eq!(said, "", "{state:?} {line}"),
-            Some(start) => assert!(said.starts_with(start), "{state:?} {line:?}: {said:?}, not {start:?}"),
+            None => assert_eq!(text, "", "{state:?} {line}"),
+            Some(start) => {
+                assert!(text.starts_with(start), "{state:?} {line:?}: {text:?}, not {start:?}")
+            }
         }
         if expected == Some("$") {
-            let mut body = vec![0; said[1..].trim().parse::<usize>().unwrap() + 2];
-            reading.read_exact(&mut body).await.unwrap();
+            let mut body = vec![0; text[1..].trim().parse::<usize>().unwrap() + 2];
+            reader.read_exact(&mut body).await.unwrap();
         }
-        state = after;
+        state = next_state;
     }
-    drop((reading, writing));
-    ended.await.unwrap();
+    drop((reader, writer));
+    server_task.await.unwrap();
 }
 
 proptest! {
@@ -145,10 +147,10 @@
     fn a_connection_replies_as_its_state_allows(
         hello in 0..2usize,
         lines in prop::collection::vec(0..LINES.len(), 1..14),
-        cut in 1..80usize,
+        chunk_size in 1..80usize,
         greets in prop::bool::weighted(0.9),
     ) {
         let lines = greets.then_some(hello).into_iter().chain(lines).collect();
-        actix_rt::System::new().block_on(converse(lines, cut));
+        actix_rt::System::new().block_on(run_conversation(lines, chunk_size));
     }
 }
--- a/node/tests/files.rs
+++ b/node/tests/files.rs
@@ -1,5 +1,5 @@
-//! What stands in files and figures: the file of bans, the operator's file, the page of figures, and the
-//! limits that are worked out from the settings. It owns what their words and sums are, apart from any socket.
+//! Files and derived values without sockets: the file of disabled runners, the operator's file, the page of
+//! metrics, and the limits computed from the settings.
 
 #[path = "common/env.rs"]
 mod env;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 #[test]
-fn names_come_back_as_written() {
+fn disabled_names_are_read_back_as_written() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("sablerun-bans");
     assert!(read(&file).unwrap().is_empty());
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_files_under_deploy_are_understood() {
+fn the_files_under_deploy_are_valid() {
     for name in ["gateway.toml", "keys.toml"] {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy").join(name);
         Operator::read(&path).unwrap();
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn the_page_names_each_class_and_figure_once() {
-    let figures = Metrics::default();
-    figures.class("bin-check").count(AnswerKind::Answered);
-    figures.class("bin-check").count(AnswerKind::Errored);
-    figures.class("pick-route").count(AnswerKind::Deferred);
-    Metrics::add(&figures.sends);
-    Metrics::set(&figures.current, 14);
-    let page = figures.render();
+fn the_metrics_page_lists_each_class_and_metric_once() {
+    let metrics = Metrics::default();
+    metrics.class("bin-check").count(AnswerKind::Answered);
+    metrics.class("bin-check").count(AnswerKind::Errored);
+    metrics.class("pick-route").count(AnswerKind::Deferred);
+    Metrics::add(&metrics.sends);
+    Metrics::set(&metrics.current, 14);
+    let page = metrics.render();
     for line in [
         "transactions.bin-check.answered=1",
         "transactions.bin-check.deferred=0",
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_parts_fit_into_the_descriptors_and_idle_connections_are_dropped_in_time() {
+fn connection_limits_fit_the_descriptor_limit_and_idle_connections_close_in_time() {
     for sockets in [1024, 4096] {
         let limits = Limits::new(sockets, 192, &test_env(), true);
         assert!(
@@ -84,7 +84,9 @@
         assert!(limits.idle_timeout <= Duration::from_secs(8));
         assert!(limits.max_open * limits.max_body_bytes <= 192 * 1024 * 1024 / 2);
         assert_eq!(Limits::new(sockets, 192, &test_env(), false).max_faktory_connections, 0);
-        let told = sablerun::Settings::default().validity_after_silence;
-        assert!(limits.watch_silence_timeout + Duration::from_nanos(told.0) <= Duration::from_secs(6));
+        let list_validity = sablerun::Settings::default().validity_after_silence;
+        assert!(
+            limits.watch_silence_timeout + Duration::from_nanos(list_validity.0) <= Duration::from_secs(6)
+        );
     }
 }
--- a/node/tests/gateway.rs
+++ b/node/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The Faktory front by itself: framing, workers' lives, and SPIFFE identities over TLS.
+//! The Faktory front by itself: framing, the lifecycle of workers, and SPIFFE identities over TLS.
 
 mod common;
 
@@ -17,24 +17,24 @@
 fn start(gateway: &str, settings: serde_json::Value) -> (Discovery, Program, SocketAddr) {
     let discovery = Discovery::start(Vec::new());
     let program = Program::start(&discovery, settings, Some(gateway));
-    let at = program.faktory_address.unwrap();
-    (discovery, program, at)
+    let address = program.faktory_address.unwrap();
+    (discovery, program, address)
 }
 
-/// Pushes from a thread of its own; joins to the answer.
-fn push(at: SocketAddr, job: String) -> JoinHandle<String> {
-    thread::spawn(move || FaktoryConnection::connect(at, None).command(&format!("PUSH {job}")))
+/// Pushes a job from a new thread; joining it returns the reply.
+fn push(address: SocketAddr, job: String) -> JoinHandle<String> {
+    thread::spawn(move || FaktoryConnection::connect(address, None).command(&format!("PUSH {job}")))
 }
 
 /// Fetches until there is a job.
-fn fetch(caller: &mut FaktoryConnection<TcpStream>, queues: &str) -> serde_json::Value {
-    (0..100).find_map(|_| caller.fetch(queues)).expect("a job")
+fn fetch(connection: &mut FaktoryConnection<TcpStream>, queues: &str) -> serde_json::Value {
+    (0..100).find_map(|_| connection.fetch(queues)).expect("a job")
 }
 
 #[test]
 fn commands_get_the_replies_of_the_protocol() {
-    let (_discovery, _program, at) = start(GATEWAY_CONFIG, settings());
-    let mut client = FaktoryConnection::connect(at, None);
+    let (_discovery, _program, address) = start(GATEWAY_CONFIG, settings());
+    let mut client = FaktoryConnection::connect(address, None);
     for (line, start) in [
         ("FLUSH", "-ERR DENIED FLUSH"),
         ("FETCH routes", "-ERR DENIED FETCH"),
@@ -62,8 +62,8 @@
     assert!(client.read_fetched().unwrap()["server"]["connections"].is_u64());
     client.send("END");
     assert_eq!(client.read_line(), None);
-    // A worker: no job in time, BEAT under its own wid alone, bad words about jobs.
-    let mut worker = FaktoryConnection::connect(at, Some("w-1"));
+    // A worker: no job within the wait, BEAT only under its own wid, invalid reports about jobs.
+    let mut worker = FaktoryConnection::connect(address, Some("w-1"));
     assert_eq!(worker.command("FETCH routes"), "$-1");
     assert_eq!(worker.command(r#"BEAT {"wid":"w-1"}"#), "+OK");
     assert!(worker.command(r#"BEAT {"wid":"w-2"}"#).starts_with("-ERR MALFORMED BEAT"));
@@ -72,164 +72,177 @@
 }
 
 #[test]
-fn what_can_not_be_a_conversation_is_closed() {
-    let (_discovery, _program, at) = start(GATEWAY_CONFIG, settings());
+fn an_invalid_conversation_is_closed() {
+    let (_discovery, _program, address) = start(GATEWAY_CONFIG, settings());
     let open = || {
-        let mut caller = FaktoryConnection { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
-        assert_eq!(caller.read_line().unwrap(), "+HI {\"v\":2}");
-        caller
+        let mut connection =
+            FaktoryConnection { stream: BufReader::new(TcpStream::connect(address).unwrap()) };
+        assert_eq!(connection.read_line().unwrap(), "+HI {\"v\":2}");
+        connection
     };
     for line in ["PUSH {}", "HELLO", "HELLO {\"v\":1}", "HELLO {\"v\":2,\"wid\":7}"] {
-        let mut caller = open();
-        assert!(caller.command(line).starts_with("-ERR MALFORMED"), "{line}");
-        assert_eq!(caller.read_line(), None, "{line}");
+        let mut connection = open();
+        assert!(connection.command(line).starts_with("-ERR MALFORMED"), "{line}");
+        assert_eq!(connection.read_line(), None, "{line}");
     }
     // A frame that never ends.
-    let mut caller = FaktoryConnection::connect(at, None);
-    let _ = caller.stream.get_mut().write_all(&vec![b'x'; 200 * 1024]);
-    assert!(caller.read_line().is_none_or(|line| line.starts_with("-ERR MALFORMED a frame")));
-    // One that breaks off in its midst; a connection that rests between two is left alone.
-    let (mut rests, mut halts) = (FaktoryConnection::connect(at, None), FaktoryConnection::connect(at, None));
-    halts.stream.get_mut().write_all(b"PUSH {").unwrap();
-    assert!(halts.read_line().unwrap().starts_with("-ERR MALFORMED a frame is too slow"));
-    assert_eq!(halts.read_line(), None);
-    assert!(rests.command("INFO").starts_with('$'));
-    // And the front goes on.
-    assert_eq!(FaktoryConnection::connect(at, Some("w-1")).command("FETCH routes"), "$-1");
+    let mut connection = FaktoryConnection::connect(address, None);
+    let _ = connection.stream.get_mut().write_all(&vec![b'x'; 200 * 1024]);
+    assert!(connection.read_line().is_none_or(|line| line.starts_with("-ERR MALFORMED a frame")));
+    // A frame that stops half way; a connection that is idle between frames stays open.
+    let (mut idle, mut stalled) =
+        (FaktoryConnection::connect(address, None), FaktoryConnection::connect(address, None));
+    stalled.stream.get_mut().write_all(b"PUSH {").unwrap();
+    assert!(stalled.read_line().unwrap().starts_with("-ERR MALFORMED a frame is too slow"));
+    assert_eq!(stalled.read_line(), None);
+    assert!(idle.command("INFO").starts_with('$'));
+    // The front still serves.
+    assert_eq!(FaktoryConnection::connect(address, Some("w-1")).command("FETCH routes"), "$-1");
 }
 
 #[test]
-fn a_password_is_asked_for_and_checked() {
+fn a_password_is_requested_and_checked() {
     use sha2::{Digest, Sha256};
     let file = test_dir().join("password");
     std::fs::write(&file, "open sesame\n").unwrap();
     let gateway = format!("password_file = {:?}\n{GATEWAY_CONFIG}", file);
-    let (_discovery, _program, at) = start(&gateway, settings());
-    for (password, good) in [("open sesame", true), ("open barley", false)] {
-        let mut caller = FaktoryConnection { stream: BufReader::new(TcpStream::connect(at).unwrap()) };
-        let hi = caller.read_line().unwrap();
-        let hi: serde_json::Value = serde_json::from_str(hi.strip_prefix("+HI ").unwrap()).unwrap();
-        let mut hash = format!("{password}{}", hi["s"].as_str().unwrap()).into_bytes();
-        for _ in 0..hi["i"].as_u64().unwrap() {
+    let (_discovery, _program, address) = start(&gateway, settings());
+    for (password, accepted) in [("open sesame", true), ("open barley", false)] {
+        let mut connection =
+            FaktoryConnection { stream: BufReader::new(TcpStream::connect(address).unwrap()) };
+        let greeting = connection.read_line().unwrap();
+        let greeting: serde_json::Value =
+            serde_json::from_str(greeting.strip_prefix("+HI ").unwrap()).unwrap();
+        let mut hash = format!("{password}{}", greeting["s"].as_str().unwrap()).into_bytes();
+        for _ in 0..greeting["i"].as_u64().unwrap() {
             hash = Sha256::digest(&hash).to_vec();
         }
         let hash: String = hash.iter().map(|b| format!("{b:02x}")).collect();
-        let reply = caller.command(&format!("HELLO {}", json!({"v": 2, "pwdhash": hash})));
-        assert_eq!(reply == "+OK", good, "{reply}");
+        let reply = connection.command(&format!("HELLO {}", json!({"v": 2, "pwdhash": hash})));
+        assert_eq!(reply == "+OK", accepted, "{reply}");
     }
 }
 
-/// A worker that goes quiet drains: what waited for it goes elsewhere at once, what it runs it ends.
+/// A worker that goes quiet drains: jobs that waited for it go elsewhere at once, and it finishes those that
+/// it runs.
 #[test]
-fn nothing_new_goes_to_a_worker_once_it_is_quiet() {
-    let (_discovery, program, at) = start(GATEWAY_CONFIG, settings());
-    let mut one = FaktoryConnection::connect(at, Some("w-1"));
-    assert_eq!(one.command("FETCH waves"), "$-1");
-    let clients: Vec<_> = (0..4).map(|_| push(at, job("waves", &new_id(), "serve", json!({})))).collect();
-    let running = fetch(&mut one, "waves");
-    let seen = Events::default();
-    worker(at, "w-2", 1, &seen);
+fn no_new_job_goes_to_a_quiet_worker() {
+    let (_discovery, program, address) = start(GATEWAY_CONFIG, settings());
+    let mut quiet = FaktoryConnection::connect(address, Some("w-1"));
+    assert_eq!(quiet.command("FETCH waves"), "$-1");
+    let clients: Vec<_> =
+        (0..4).map(|_| push(address, job("waves", &new_id(), "serve", json!({})))).collect();
+    let running = fetch(&mut quiet, "waves");
+    let events = Events::default();
+    worker(address, "w-2", 1, &events);
     program.log.wait("worker w-2 of", 1);
-    assert_eq!(one.command(r#"BEAT {"wid":"w-1","current_state":"quiet"}"#), "+OK");
+    assert_eq!(quiet.command(r#"BEAT {"wid":"w-1","current_state":"quiet"}"#), "+OK");
     program.log.wait("w-1 is quiet", 1);
-    // The rest reaches the other one; the quiet one fetches in vain, and its running job counts.
+    // The remaining jobs reach the other worker. The quiet one fetches in vain, and the result of its running
+    // job counts.
     for done in 1..=3 {
-        assert_eq!(one.command("FETCH waves"), "$-1");
-        seen.wait("w-2 told serve", done);
+        assert_eq!(quiet.command("FETCH waves"), "$-1");
+        events.wait("w-2 told serve", done);
     }
-    assert_eq!(one.command(&format!("ACK {}", json!({"jid": running["jid"]}))), "+OK");
+    assert_eq!(quiet.command(&format!("ACK {}", json!({"jid": running["jid"]}))), "+OK");
     assert!(clients.into_iter().all(|client| client.join().unwrap() == "+OK"));
 }
 
-/// A new wid is a process that has just started: it gets no more than a cold one can stand, however
-/// many of its connections are parked.
+/// A new wid is a process that has just started: it gets no more jobs than slow start allows, however many of
+/// its connections are parked.
 #[test]
-fn a_cold_worker_is_not_flooded() {
-    let mut cold = settings();
-    cold["rules"]["coldFrom"] = json!(0.32);
-    cold["rules"]["fallMultiple"] = json!(2.5);
-    cold["rules"]["warmAfter"] = json!(3_600_000_000_000u64);
-    for (settings, flooded) in [(cold, false), (settings(), true)] {
-        let (_discovery, program, at) = start(GATEWAY_CONFIG, settings);
-        let seen = Events::default();
-        worker(at, "w-1", 20, &seen);
+fn a_worker_in_slow_start_is_not_flooded() {
+    let mut slow_start = settings();
+    slow_start["rules"]["coldFrom"] = json!(0.32);
+    slow_start["rules"]["fallMultiple"] = json!(2.5);
+    slow_start["rules"]["warmAfter"] = json!(3_600_000_000_000u64);
+    for (settings, all_served) in [(slow_start, false), (settings(), true)] {
+        let (_discovery, program, address) = start(GATEWAY_CONFIG, settings);
+        let events = Events::default();
+        worker(address, "w-1", 20, &events);
         program.log.wait("worker w-1 of", 1);
         let clients: Vec<_> =
-            (0..60).map(|_| push(at, job("routes", &new_id(), "serve", json!({})))).collect();
-        let heard: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
-        let served = heard.iter().filter(|reply| *reply == "+OK").count();
-        assert_eq!(served, seen.count("got serve"));
-        assert_eq!(served == 60, flooded, "{served} served");
-        assert!(heard.iter().all(|reply| reply == "+OK" || reply.starts_with("-ERR REFUSED")), "{heard:?}");
+            (0..60).map(|_| push(address, job("routes", &new_id(), "serve", json!({})))).collect();
+        let replies: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+        let served = replies.iter().filter(|reply| *reply == "+OK").count();
+        assert_eq!(served, events.count("got serve"));
+        assert_eq!(served == 60, all_served, "{served} served");
+        assert!(
+            replies.iter().all(|reply| reply == "+OK" || reply.starts_with("-ERR REFUSED")),
+            "{replies:?}"
+        );
     }
 }
 
 #[test]
-fn a_worker_without_beats_is_gone_and_a_deadline_holds_whatever_it_does() {
+fn a_worker_without_heartbeats_is_removed_and_deadlines_still_hold() {
     let gateway = format!("beat_limit_s = 0.5\n{GATEWAY_CONFIG}");
-    let (_discovery, program, at) = start(&gateway, settings());
-    let mut silent = FaktoryConnection::connect(at, Some("w-1"));
+    let (_discovery, program, address) = start(&gateway, settings());
+    let mut silent = FaktoryConnection::connect(address, Some("w-1"));
     assert_eq!(silent.command("FETCH waves"), "$-1");
-    let lost = push(at, job("waves", &new_id(), "serve", json!({"timeout_ms": 6000})));
-    let job_held = fetch(&mut silent, "waves");
+    let lost_push = push(address, job("waves", &new_id(), "serve", json!({"timeout_ms": 6000})));
+    let held_job = fetch(&mut silent, "waves");
     program.log.wait("w-1 has missed its beats", 1);
-    // What it ran may have run: the class keyed by hall can only fail.
-    assert!(lost.join().unwrap().starts_with("-ERR FAILED"));
-    // It hears so on its old connection, and is taken back on a new one, whose life the end of the
-    // old one does not touch.
-    for line in [&format!("ACK {}", json!({"jid": job_held["jid"]})), r#"BEAT {"wid":"w-1"}"#, "FETCH waves"]
+    // The job may have run, so a class whose repeats are limited to one hall fails.
+    assert!(lost_push.join().unwrap().starts_with("-ERR FAILED"));
+    // The worker gets an error on its old connection and is accepted on a new one, which the end of the old
+    // one does not affect.
+    for line in [&format!("ACK {}", json!({"jid": held_job["jid"]})), r#"BEAT {"wid":"w-1"}"#, "FETCH waves"]
     {
         assert!(silent.command(line).starts_with("-ERR DENIED this worker was given up"));
     }
-    let seen = Events::default();
-    worker(at, "w-1", 1, &seen);
+    let events = Events::default();
+    worker(address, "w-1", 1, &events);
     program.log.wait("worker w-1 of", 2);
     drop(silent);
-    assert_eq!(push(at, job("waves", &new_id(), "serve", json!({}))).join().unwrap(), "+OK");
+    assert_eq!(push(address, job("waves", &new_id(), "serve", json!({}))).join().unwrap(), "+OK");
 }
 
-/// Jobs of both fronts draw on one member's share: what one front has used up the other can't use,
-/// and what goes beyond the share is served after what another member has within its own.
+/// Jobs of both fronts draw on one member's share: what one front has used up is not available to the other,
+/// and jobs beyond the share are served after jobs of other members within their share.
 #[test]
 fn both_fronts_count_under_one_members_share() {
     let mut tight = settings();
     tight["projects"][0]["quotaPerS"] = json!(1.0);
     tight["services"][3]["objective"] = json!(5_000_000_000u64);
-    let (_discovery, program, at) = start(GATEWAY_CONFIG, tight);
+    let (_discovery, program, address) = start(GATEWAY_CONFIG, tight);
     let ids: Vec<String> = (0..3).map(|_| new_id()).collect();
     let (id, to) = (ids[0].clone(), program.address);
     let within =
         thread::spawn(move || call(to, &api_request("short-pick", &id, "6000m", ""), "serve").status());
     program.log.wait(&format!("request {}", ids[0]), 1);
-    // The same member's second job, by the other front, and another member's first.
-    let beyond = push(at, job("picks", &ids[1], "serve", json!({"member": "mehran-dist"})));
+    // The same member's second job through the other front, and another member's first.
+    let beyond = push(address, job("picks", &ids[1], "serve", json!({"member": "mehran-dist"})));
     program.log.wait(&format!("request {}", ids[1]), 1);
-    let other = push(at, job("picks", &ids[2], "serve", json!({})));
+    let other = push(address, job("picks", &ids[2], "serve", json!({})));
     program.log.wait(&format!("request {}", ids[2]), 1);
-    let seen = Events::default();
-    worker(at, "w-1", 1, &seen);
+    let events = Events::default();
+    worker(address, "w-1", 1, &events);
     assert_eq!(within.join().unwrap(), 200);
     assert_eq!((beyond.join().unwrap().as_str(), other.join().unwrap().as_str()), ("+OK", "+OK"));
-    let got = seen.all();
+    let all_events = events.all();
     let place =
-        |id: &String| got.iter().position(|event| event.contains(&format!("got serve {id}"))).unwrap();
-    assert!(place(&ids[0]) < place(&ids[2]) && place(&ids[2]) < place(&ids[1]), "{got:?}");
+        |id: &String| all_events.iter().position(|event| event.contains(&format!("got serve {id}"))).unwrap();
+    assert!(place(&ids[0]) < place(&ids[2]) && place(&ids[2]) < place(&ids[1]), "{all_events:?}");
 }
 
 // ---- SPIFFE ----
 
-/// A trust domain's authority.
-struct Site {
+/// The certificate authority of a trust domain.
+struct CertificateAuthority {
     domain: &'static str,
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
-impl Site {
-    fn new(domain: &'static str) -> Site {
+impl CertificateAuthority {
+    fn new(domain: &'static str) -> CertificateAuthority {
         let mut params = CertificateParams::default();
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-        Site { domain, issuer: CertifiedIssuer::self_signed(params, KeyPair::generate().unwrap()).unwrap() }
+        CertificateAuthority {
+            domain,
+            issuer: CertifiedIssuer::self_signed(params, KeyPair::generate().unwrap()).unwrap(),
+        }
     }
 
     fn svid(&self, path: &str) -> (String, String) {
@@ -251,11 +264,11 @@
     }
 }
 
-/// Takes any server: these tests are about what the server takes.
+/// Accepts any server certificate: these tests check what the server accepts.
 #[derive(Debug)]
-struct Trusting(Arc<rustls::crypto::CryptoProvider>);
+struct AcceptAnyServer(Arc<rustls::crypto::CryptoProvider>);
 
-impl rustls::client::danger::ServerCertVerifier for Trusting {
+impl rustls::client::danger::ServerCertVerifier for AcceptAnyServer {
     fn verify_server_cert(
         &self,
         _: &CertificateDer<'_>,
@@ -292,19 +305,19 @@
 
 type Tls = rustls::StreamOwned<rustls::ClientConnection, TcpStream>;
 
-fn connect(at: SocketAddr, (cert, key): &(String, String)) -> FaktoryConnection<Tls> {
+fn connect(address: SocketAddr, (cert, key): &(String, String)) -> FaktoryConnection<Tls> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let chain = CertificateDer::pem_slice_iter(cert.as_bytes()).map(Result::unwrap).collect();
     let config = rustls::ClientConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
         .unwrap()
         .dangerous()
-        .with_custom_certificate_verifier(Arc::new(Trusting(provider)))
+        .with_custom_certificate_verifier(Arc::new(AcceptAnyServer(provider)))
         .with_client_auth_cert(chain, PrivateKeyDer::from_pem_slice(key.as_bytes()).unwrap())
         .unwrap();
     let name = ServerName::try_from("gateway.example").unwrap();
     let connection = rustls::ClientConnection::new(Arc::new(config), name).unwrap();
-    let stream = rustls::StreamOwned::new(connection, TcpStream::connect(at).unwrap());
+    let stream = rustls::StreamOwned::new(connection, TcpStream::connect(address).unwrap());
     FaktoryConnection { stream: BufReader::new(stream) }
 }
 
@@ -313,29 +326,32 @@
 }
 
 #[test]
-fn two_sites_federate_and_strangers_are_refused() {
-    let (east, lahore, elsewhere) =
-        (Site::new("east.example"), Site::new("lahore.example"), Site::new("else.example"));
+fn two_sites_federate_and_unknown_identities_are_refused() {
+    let (east_ca, lahore_ca, unknown_ca) = (
+        CertificateAuthority::new("east.example"),
+        CertificateAuthority::new("lahore.example"),
+        CertificateAuthority::new("else.example"),
+    );
     let folder = test_dir();
-    let own = east.svid("/gateway");
-    write(&folder, "svid.pem", &own.0);
-    write(&folder, "key.pem", &own.1);
-    write(&folder, "east.pem", &east.issuer.pem());
-    write(&folder, "lahore.pem", &lahore.issuer.pem());
-    let at = folder.display();
+    let gateway_svid = east_ca.svid("/gateway");
+    write(&folder, "svid.pem", &gateway_svid.0);
+    write(&folder, "key.pem", &gateway_svid.1);
+    write(&folder, "east.pem", &east_ca.issuer.pem());
+    write(&folder, "lahore.pem", &lahore_ca.issuer.pem());
+    let folder_path = folder.display();
     let gateway = GATEWAY_CONFIG.replace("plaintext = true\nmember = \"ravi-supply\"", "");
     let gateway = format!(
         r#"{gateway}
         [tls]
-        svid = "{at}/svid.pem"
-        key = "{at}/key.pem"
+        svid = "{folder_path}/svid.pem"
+        key = "{folder_path}/key.pem"
         reload_s = 3600.0
         [[tls.bundle]]
         trust_domain = "east.example"
-        file = "{at}/east.pem"
+        file = "{folder_path}/east.pem"
         [[tls.bundle]]
         trust_domain = "lahore.example"
-        file = "{at}/lahore.pem"
+        file = "{folder_path}/lahore.pem"
         [[identity]]
         id = "spiffe://east.example/floor/mehran"
         role = "client"
@@ -347,16 +363,16 @@
         kind = "k4-slow"
         "#
     );
-    let (_discovery, program, at) = start(&gateway, settings());
+    let (_discovery, program, address) = start(&gateway, settings());
     // A worker of one site serves a client of the other.
-    let mut worker = connect(at, &lahore.svid("/pick-node/7"));
+    let mut worker = connect(address, &lahore_ca.svid("/pick-node/7"));
     worker.hello(Some("w-7"));
     assert_eq!(worker.command("FETCH picks"), "$-1");
-    let mehran = east.svid("/floor/mehran");
+    let mehran_svid = east_ca.svid("/floor/mehran");
     let client = {
-        let mehran = mehran.clone();
+        let mehran_svid = mehran_svid.clone();
         thread::spawn(move || {
-            let mut client = connect(at, &mehran);
+            let mut client = connect(address, &mehran_svid);
             client.hello(None);
             client.command(&format!(
                 "PUSH {}",
@@ -364,51 +380,63 @@
             ))
         })
     };
-    let job_held = (0..100).find_map(|_| worker.fetch("picks")).expect("a job");
-    assert_eq!(worker.command(&format!("ACK {}", json!({"jid": job_held["jid"]}))), "+OK");
+    let held_job = (0..100).find_map(|_| worker.fetch("picks")).expect("a job");
+    assert_eq!(worker.command(&format!("ACK {}", json!({"jid": held_job["jid"]}))), "+OK");
     assert_eq!(client.join().unwrap(), "+OK");
-    // Each identity keeps to its role.
+    // Each identity is limited to its role.
     assert!(
         worker
             .command(&format!("PUSH {}", job("picks", &new_id(), "serve", json!({}))))
             .starts_with("-ERR DENIED")
     );
-    let mut client = connect(at, &mehran);
+    let mut client = connect(address, &mehran_svid);
     assert_eq!(client.read_line().unwrap(), "+HI {\"v\":2}");
     assert!(client.command(r#"HELLO {"v":2,"wid":"w-8"}"#).starts_with("-ERR DENIED"));
-    let mut thief = connect(at, &lahore.svid("/pick-node/8"));
-    assert_eq!(thief.read_line().unwrap(), "+HI {\"v\":2}");
-    assert!(thief.command(r#"HELLO {"v":2,"wid":"w-7"}"#).starts_with("-ERR DENIED this wid"));
-    // Refused, and the log says why: one site's authority signing for the other, a domain without a
-    // bundle, one expired, two names, none, and a good one that the file does not name.
-    let refused = |svid: (String, String), why: &str, times: usize| {
-        assert_eq!(connect(at, &svid).read_line(), None, "{why}");
+    let mut impostor = connect(address, &lahore_ca.svid("/pick-node/8"));
+    assert_eq!(impostor.read_line().unwrap(), "+HI {\"v\":2}");
+    assert!(impostor.command(r#"HELLO {"v":2,"wid":"w-7"}"#).starts_with("-ERR DENIED this wid"));
+    // Refused, and the log names the reason: one site's authority signing for the other, a domain without a
+    // bundle, an expired certificate, two names, no name, and a valid one that the file does not name.
+    let assert_refused = |svid: (String, String), why: &str, times: usize| {
+        assert_eq!(connect(address, &svid).read_line(), None, "{why}");
         program.log.wait(why, times);
     };
-    refused(
-        lahore.sign(&["spiffe://east.example/floor/mehran"], false),
+    assert_refused(
+        lahore_ca.sign(&["spiffe://east.example/floor/mehran"], false),
         "refused: spiffe://east.example/floor/mehran: invalid",
         1,
     );
-    refused(elsewhere.svid("/floor/mehran"), "spiffe://else.example/floor/mehran: no such trust domain", 1);
-    refused(
-        east.sign(&["spiffe://east.example/floor/mehran"], true),
+    assert_refused(
+        unknown_ca.svid("/floor/mehran"),
+        "spiffe://else.example/floor/mehran: no such trust domain",
+        1,
+    );
+    assert_refused(
+        east_ca.sign(&["spiffe://east.example/floor/mehran"], true),
         "floor/mehran: invalid peer certificate: certificate expired",
         1,
     );
-    refused(east.sign(&["spiffe://east.example/a", "spiffe://east.example/b"], false), "this has 2", 1);
-    refused(east.sign(&["https://east.example/a"], false), "no SPIFFE ID", 1);
-    refused(east.svid("/floor/nobody"), "floor/nobody is in no identity", 1);
-    // Bundles rotate: what the new authority signs is taken, what the old one signed is not.
-    let rotated = Site::new("lahore.example");
-    write(&folder, "lahore.pem", &rotated.issuer.pem());
+    assert_refused(
+        east_ca.sign(&["spiffe://east.example/a", "spiffe://east.example/b"], false),
+        "this has 2",
+        1,
+    );
+    assert_refused(east_ca.sign(&["https://east.example/a"], false), "no SPIFFE ID", 1);
+    assert_refused(east_ca.svid("/floor/nobody"), "floor/nobody is in no identity", 1);
+    // Bundles rotate: certificates that the new authority signed are accepted, those of the old one are not.
+    let rotated_ca = CertificateAuthority::new("lahore.example");
+    write(&folder, "lahore.pem", &rotated_ca.issuer.pem());
     program.signal("HUP");
     program.log.wait("SVID and bundles reloaded", 1);
-    connect(at, &rotated.svid("/pick-node/9")).hello(Some("w-9"));
-    refused(lahore.svid("/pick-node/7"), "refused: spiffe://lahore.example/pick-node/7: invalid", 1);
-    // A file that is of no use changes nothing.
+    connect(address, &rotated_ca.svid("/pick-node/9")).hello(Some("w-9"));
+    assert_refused(
+        lahore_ca.svid("/pick-node/7"),
+        "refused: spiffe://lahore.example/pick-node/7: invalid",
+        1,
+    );
+    // An invalid file changes nothing.
     write(&folder, "lahore.pem", "nothing");
     program.signal("HUP");
     program.log.wait("not reloaded, the old ones stay: tls.bundle.file", 1);
-    connect(at, &rotated.svid("/pick-node/9")).hello(Some("w-9"));
+    connect(address, &rotated_ca.svid("/pick-node/9")).hello(Some("w-9"));
 }
--- a/node/tests/key_snapshots.rs
+++ b/node/tests/key_snapshots.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys that outlive the process: kills, ends and damaged files, and the commands that look at them.
+//! Idempotency keys that survive a restart: kills, graceful shutdowns, damaged snapshots, and the commands
+//! that read them.
 
 mod common;
 #[path = "common/halls.rs"]
@@ -11,24 +12,24 @@
 use std::process::Command;
 use std::time::Instant;
 
-fn with_snapshot(folder: &std::path::Path) -> String {
+fn snapshot_config(folder: &std::path::Path) -> String {
     format!("[keys.snapshot]\nfile = {:?}\nevery_s = 0.05\n", folder.join("keys").display().to_string())
 }
 
-/// Waits until the snapshot on the disk holds the key as served. A number of snapshots would not tell: one
-/// may be in the midst of its writing and one wait for it, both made before the answer.
-fn kept(program: &Program, folder: &std::path::Path, key: &str) {
+/// Waits until the snapshot on disk has the key as served. Counting snapshots in the log would not show this:
+/// one may be half written and another queued, both taken before the answer.
+fn wait_until_saved(program: &Program, folder: &std::path::Path, key: &str) {
     let served =
         |record: &Record| record.key == key.as_bytes() && matches!(record.resolution, Resolution::Served(_));
-    let holds = || {
+    let is_saved = || {
         let bytes = std::fs::read(folder.join("keys")).unwrap();
         Snapshot::decode(&bytes).unwrap().records.iter().any(served)
     };
-    let (since, mut written) = (Instant::now(), program.log.count("keys: snapshot of"));
-    while !holds() {
+    let (started, mut written) = (Instant::now(), program.log.count("keys: snapshot of"));
+    while !is_saved() {
         assert!(
-            since.elapsed() < EVENT_TIMEOUT,
-            "no snapshot holds {key} as served: {:#?}",
+            started.elapsed() < EVENT_TIMEOUT,
+            "no snapshot has {key} as served: {:#?}",
             program.log.all()
         );
         written += 1;
@@ -36,52 +37,59 @@
     }
 }
 
-/// Kills the program, or lets it end, and starts the next with the same file.
+/// Kills the program or shuts it down gracefully, then starts the next one with the same file.
 #[test]
-fn a_snapshot_carries_the_keys_over_a_kill_and_an_end() {
-    for orderly in [false, true] {
+fn a_snapshot_restores_the_keys_after_a_kill_and_after_a_graceful_shutdown() {
+    for graceful in [false, true] {
         let folder = test_dir();
-        // A first start knows of no predecessor and is in doubt, which it would hand on.
-        let doubt = format!("[keys]\ndoubt_s = {}\n\n", if orderly { 0 } else { 60 });
-        let operator = doubt + &with_snapshot(&folder);
-        let halls = Halls::start();
-        let key = format!("k{orderly}");
+        // The first start has no predecessor, so it treats unknown retries as uncertain for `doubt_s` and
+        // would pass that period on to its successor.
+        let doubt = format!("[keys]\ndoubt_s = {}\n\n", if graceful { 0 } else { 60 });
+        let operator = doubt + &snapshot_config(&folder);
+        let halls = TwoHalls::start();
+        let key = format!("k{graceful}");
         let mut program = halls.program(&operator);
-        assert_eq!(ask(&program, "wave-release", &key, "serve", "").0, 200);
-        kept(&program, &folder, &key);
-        program.signal(if orderly { "TERM" } else { "KILL" });
+        assert_eq!(send_keyed(&program, "wave-release", &key, "serve", "").0, 200);
+        wait_until_saved(&program, &folder, &key);
+        program.signal(if graceful { "TERM" } else { "KILL" });
         program.child.wait().unwrap();
         drop(program);
         let program = Program::start(&halls.discovery, settings(), Some(&operator));
         program.log.wait("a predecessor's are back", 1);
-        assert_eq!(ask(&program, "wave-release", &key, "serve", "\r\nX-Retried: 1").0, 200);
-        assert_eq!(halls.sent("serve"), 1);
-        // An unknown one: after a kill nobody knows what was sent since; after an orderly end all is known.
-        let (status, why) = ask(&program, "wave-release", &format!("old-{key}"), "away", "\r\nX-Retried: 1");
-        assert_eq!(status, if orderly { 503 } else { 502 }, "{why}");
-        // It does not count where every runner drops a repeat, nor where the try is not marked.
-        assert_eq!(ask(&program, "short-pick", &format!("all-{key}"), "away", "\r\nX-Retried: 1").0, 503);
-        assert_eq!(ask(&program, "wave-release", &format!("new-{key}"), "away", "").0, 503);
-        // Another dispatcher may not write there meanwhile.
+        assert_eq!(send_keyed(&program, "wave-release", &key, "serve", "\r\nX-Retried: 1").0, 200);
+        assert_eq!(halls.jobs_received("serve"), 1);
+        // An unknown key: after a kill, jobs sent since the snapshot are unknown, so the retry may have run.
+        // After a graceful shutdown the snapshot is complete.
+        let (status, why) =
+            send_keyed(&program, "wave-release", &format!("old-{key}"), "away", "\r\nX-Retried: 1");
+        assert_eq!(status, if graceful { 503 } else { 502 }, "{why}");
+        // This does not apply where all runners drop repeats, nor to an attempt that is not marked as a
+        // retry.
+        assert_eq!(
+            send_keyed(&program, "short-pick", &format!("all-{key}"), "away", "\r\nX-Retried: 1").0,
+            503
+        );
+        assert_eq!(send_keyed(&program, "wave-release", &format!("new-{key}"), "away", "").0, 503);
+        // No other dispatcher may use the file meanwhile.
         let mut command =
             Program::command(&Program::config(halls.discovery.address, settings()), Some(&operator));
         let refused = command.output().unwrap();
-        let word = String::from_utf8(refused.stderr).unwrap();
-        assert!(refused.status.code() == Some(1) && word.contains("another dispatcher uses it"), "{word}");
+        let error = String::from_utf8(refused.stderr).unwrap();
+        assert!(refused.status.code() == Some(1) && error.contains("another dispatcher uses it"), "{error}");
     }
 }
 
-/// Kills at whatever moment: in the midst of a write, before it, between two. What is found afterwards is
+/// Kills the program at various moments: during a write, before it, and between two. The file on disk is
 /// always a whole snapshot.
 #[test]
-fn no_kill_leaves_a_snapshot_that_cannot_be_read() {
+fn no_kill_leaves_an_unreadable_snapshot() {
     let folder = test_dir();
-    let operator = with_snapshot(&folder);
-    let halls = Halls::start();
-    // Runners call back to one address, which stays this program's while it is down.
+    let operator = snapshot_config(&folder);
+    let halls = TwoHalls::start();
+    // Runners call back to one address, which stays reserved for this program while it is down.
     let mut config = Program::config(halls.discovery.address, settings());
     config["listen"] = json!(sablerun_stand_ins::program::free_port().unwrap().to_string());
-    // A key is served for longer than a slow disk may take.
+    // The window outlasts the writes of a slow disk.
     for service in config["settings"]["services"].as_array_mut().unwrap() {
         service["window"] = json!(600_000_000_000_u64);
     }
@@ -89,9 +97,9 @@
     halls.runners.iter().for_each(|runner| runner.call_back_to(&program));
     for round in 0..8u64 {
         for n in 0..40 {
-            assert_eq!(ask(&program, "short-pick", &format!("{round}-{n}"), "serve", "").0, 200);
+            assert_eq!(send_keyed(&program, "short-pick", &format!("{round}-{n}"), "serve", "").0, 200);
         }
-        kept(&program, &folder, &format!("{round}-0"));
+        wait_until_saved(&program, &folder, &format!("{round}-0"));
         std::thread::sleep(std::time::Duration::from_millis(round * 7));
         program.signal("KILL");
         program.child.wait().unwrap();
@@ -99,16 +107,16 @@
         program.log.wait("a predecessor's are back", 1);
         assert_eq!(program.log.count("starts without"), 0);
         assert!(!folder.join("keys.refused").exists());
-        let before = halls.sent("serve");
-        assert_eq!(ask(&program, "short-pick", &format!("{round}-0"), "serve", "").0, 200);
-        assert_eq!(halls.sent("serve"), before, "a key that a snapshot held was sent again");
+        let before = halls.jobs_received("serve");
+        assert_eq!(send_keyed(&program, "short-pick", &format!("{round}-0"), "serve", "").0, 200);
+        assert_eq!(halls.jobs_received("serve"), before, "a job whose key was in a snapshot was sent again");
     }
 }
 
 #[test]
 fn a_damaged_snapshot_is_set_aside_and_never_loaded() {
     let folder = test_dir();
-    let operator = with_snapshot(&folder);
+    let operator = snapshot_config(&folder);
     let file = folder.join("keys");
     for (bytes, why) in [
         (&b"SRKEYS\x02\0 of a newer program"[..], "a snapshot of format 2"),
@@ -117,14 +125,14 @@
         (b"", "not a snapshot"),
     ] {
         std::fs::write(&file, bytes).unwrap();
-        // What a kill in the middle of a write leaves behind is of no account.
+        // A temporary file left by a kill during a write is ignored.
         std::fs::write(folder.join("keys.tmp"), b"SRKEYS half").unwrap();
-        let halls = Halls::start();
+        let halls = TwoHalls::start();
         let program = halls.program(&operator);
         program.log.wait(why, 1);
         assert_eq!(std::fs::read(folder.join("keys.refused")).unwrap(), bytes);
-        assert_eq!(ask(&program, "wave-release", "k", "serve", "").0, 200);
-        assert_eq!(ask(&program, "wave-release", "u", "serve", "\r\nX-Retried: 1").0, 502);
+        assert_eq!(send_keyed(&program, "wave-release", "k", "serve", "").0, 200);
+        assert_eq!(send_keyed(&program, "wave-release", "u", "serve", "\r\nX-Retried: 1").0, 502);
     }
 }
 
@@ -136,11 +144,11 @@
 }
 
 #[test]
-fn the_commands_that_only_look() {
+fn read_only_commands_show_keys_and_check_settings() {
     let folder = test_dir();
-    let halls = Halls::start();
-    let program = halls.program(&with_snapshot(&folder));
-    assert_eq!(ask(&program, "wave-release", "key\"<b>", "serve", "").0, 200);
+    let halls = TwoHalls::start();
+    let program = halls.program(&snapshot_config(&folder));
+    assert_eq!(send_keyed(&program, "wave-release", "key\"<b>", "serve", "").0, 200);
     program.log.wait("keys: snapshot of 1 keys", 1);
     let file = folder.join("keys").display().to_string();
     let (code, out, _) = sablerun(&["keys", &file, "--json"]);
@@ -160,7 +168,7 @@
         let out = command.output().unwrap();
         (out.status.code().unwrap(), String::from_utf8([out.stdout, out.stderr].concat()).unwrap())
     };
-    let (code, out) = check(BOTH);
+    let (code, out) = check(KEYS_ON_BOTH_FRONTS);
     assert!(code == 0 && out.contains("\"sections\":[\"faktory\",\"keys\"]"), "{out}");
     let (code, out) = check("[keys]\nentires = 1\n");
     assert!(code == 1 && out.contains("operator.toml: line 2: keys.entires: unknown field"), "{out}");
@@ -178,9 +186,10 @@
 }
 
 #[test]
-fn a_line_of_the_log_can_be_one_json_object() {
-    let halls = Halls::start();
-    let mut command = Program::command(&Program::config(halls.discovery.address, settings()), Some(KEYS));
+fn with_json_logging_each_line_is_one_json_object() {
+    let halls = TwoHalls::start();
+    let mut command =
+        Program::command(&Program::config(halls.discovery.address, settings()), Some(KEYS_ON_HTTP));
     command.args(["--log", "json"]);
     let program = Program::spawn(command, false);
     let line: Value = serde_json::from_str(&program.log.wait("ready on ", 1)).unwrap();
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -1,13 +1,14 @@
-//! The program and discovery: watches that break or fall silent, old lists, and an address that moves.
+//! The program and discovery: watches that break or fall silent, outdated lists, and an address that changes.
 
 mod common;
 
 use common::*;
 use serde_json::json;
 
-/// A drain told on the watch binds at once; a watch that breaks is begun anew and tells the rest.
+/// A drain reported on the watch takes effect at once. A watch that breaks is opened again and reports later
+/// changes.
 #[test]
-fn nothing_new_goes_to_a_runner_once_it_drains() {
+fn no_new_job_goes_to_a_draining_runner() {
     let (leaving, staying) = (Runner::start("s-0"), Runner::start("s-1"));
     let discovery = Discovery::start(vec![host("s-0", leaving.address, "hall-a", "active")]);
     let program = Program::start(&discovery, settings(), None);
@@ -32,10 +33,10 @@
     assert!(discovery.request_lines.wait("stream=1", 2).contains("index=2"));
 }
 
-/// Calls that discovery turns down and a watch on which nobody speaks any more are made anew, and the
-/// list that is known at the start may be old: a runner that the first whole list leaves out is gone.
+/// Failed calls and a silent watch are repeated. The list known at the start may be outdated: a runner that
+/// the first full list omits is gone.
 #[test]
-fn the_watch_is_made_anew_and_an_old_list_is_corrected() {
+fn the_watch_is_reopened_and_an_outdated_list_is_corrected() {
     let (old, new) = (Runner::start("s-0"), Runner::start("s-1"));
     let hosts = vec![host("s-1", new.address, "hall-a", "active")];
     let discovery = Discovery::start_with_replies(
@@ -60,10 +61,11 @@
     assert_eq!(old.events.count("POST"), 0);
 }
 
-/// What was told while the program was not there is not in the list that it starts with, and binds all the same:
-/// while calls fail all are refused, and the first that is served went by what discovery tells.
+/// Changes that discovery reported while the program was down are not in the list that it starts with, but
+/// they are in force. Requests are refused while calls to discovery fail, and the first one served goes by
+/// discovery's list.
 #[test]
-fn nothing_is_sent_by_the_list_from_before_the_start() {
+fn the_list_from_before_the_start_is_not_used_for_sending() {
     let (old, new) = (Runner::start("s-0"), Runner::start("s-1"));
     let hosts = vec![host("s-1", new.address, "hall-a", "active")];
     let discovery = Discovery::start_with_replies(
@@ -80,22 +82,22 @@
     let program = Program::spawn_until(Program::command(&config, None), false, "watch failed");
     old.call_back_to(&program);
     new.call_back_to(&program);
-    // Clients are sent elsewhere meanwhile.
+    // The health check fails meanwhile, so that clients are sent to other dispatchers.
     assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status, 503);
     let served = loop {
-        let told = call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x");
-        if told.status != 503 {
-            break told;
+        let answer = call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x");
+        if answer.status != 503 {
+            break answer;
         }
     };
     assert_eq!((served.body.as_str(), old.events.count("POST")), ("by s-1", 0));
     assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status, 200);
 }
 
-/// Discovery that moves under load: the new address is asked at once and for the whole list, what is
-/// known holds until it tells something, and the end of the old watch changes nothing any more.
+/// Discovery moves under load: the new address is asked at once for the full list, the known list stays valid
+/// until then, and the end of the old watch has no further effect.
 #[test]
-fn sighup_moves_the_watch_to_the_discovery_that_the_file_names() {
+fn sighup_moves_the_watch_to_the_discovery_address_in_the_file() {
     let (leaving, staying) = (Runner::start("s-0"), Runner::start("s-1"));
     let hosts =
         [host("s-0", leaving.address, "hall-a", "active"), host("s-1", staying.address, "hall-a", "active")];
@@ -105,7 +107,7 @@
     staying.call_back_to(&program);
     old.update(&hosts[..1]);
     program.log.wait("list Delta 2", 1);
-    // The first call there fails: it is made again there and not at the old address.
+    // The first call to the new address fails. It is repeated there and not at the old address.
     let new = Discovery::start_with_replies(hosts[..1].to_vec(), &[PlannedReply::Unavailable]);
     std::fs::write(&program.config, Program::config(new.address, settings()).to_string()).unwrap();
     program.signal("HUP");
@@ -125,8 +127,8 @@
     assert_eq!((old.request_lines.count("stream=1"), program.log.count("watch failed")), (1, 1));
 }
 
-/// Where lists are pushed, they come over a watch on the machine's agent: it is opened at once, what was known
-/// before the start is not used, and a watch that ends is opened anew.
+/// In pushed mode, lists come over a watch on the machine's agent. It is opened at once, the list known
+/// before the start is not used, and a watch that ends is opened again.
 #[test]
 fn a_pushed_list_comes_over_a_watch_on_the_agent() {
     let (old, new) = (Runner::start("s-0"), Runner::start("s-1"));
@@ -151,16 +153,16 @@
     agent.request_lines.wait("stream=1", 3);
 }
 
-/// A file that is half written, or makes no sense, leaves everything as it is and says so.
+/// A file that is half written or invalid changes nothing, and an error is logged.
 #[test]
-fn sighup_with_a_file_of_no_use_changes_nothing() {
+fn sighup_with_an_invalid_file_changes_nothing() {
     let (discovery, _runner, program) = one_runner();
-    let good = Program::config(([127, 0, 0, 1], 1).into(), settings());
-    let mut senseless = good.clone();
-    senseless["settings"]["services"][0]["repeat"] = json!("maybe");
-    let half = good.to_string()[..200].to_owned();
+    let valid = Program::config(([127, 0, 0, 1], 1).into(), settings());
+    let mut invalid = valid.clone();
+    invalid["settings"]["services"][0]["repeat"] = json!("maybe");
+    let half = valid.to_string()[..200].to_owned();
     for (n, (text, key)) in
-        [(half, "EOF"), (String::new(), "EOF"), (senseless.to_string(), "repeat")].into_iter().enumerate()
+        [(half, "EOF"), (String::new(), "EOF"), (invalid.to_string(), "repeat")].into_iter().enumerate()
     {
         std::fs::write(&program.config, text).unwrap();
         program.signal("HUP");
--- a/node/tests/outage.rs
+++ b/node/tests/outage.rs
@@ -1,5 +1,5 @@
-//! An outage of discovery that it owns: watches end, and calls are refused or turned down for longer than a list
-//! holds. What failed calls say of discovery must never prolong that.
+//! An outage of discovery in which watches end and calls are refused or answered 503 for longer than a list
+//! stays valid. Failed calls must never prolong its validity.
 
 mod common;
 
@@ -10,127 +10,145 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The protocol's clock, and as much again as a busy machine may take to note a loss.
-const TOLD: Duration = Duration::from_millis(6500);
-/// How long calls fail: beyond the 8 s for which failures once counted as an outage.
-const FAILS: Duration = Duration::from_millis(9500);
-/// Pause of the door between two looks at what it is to do.
-const LOOK: Duration = Duration::from_millis(2);
+/// The 6 s for which a list stays valid after its watch ended, and an allowance for a busy machine to notice
+/// the end.
+const LIST_VALIDITY: Duration = Duration::from_millis(6500);
+/// How long calls fail: longer than the 8 s during which failed calls once counted as evidence of an outage.
+const OUTAGE: Duration = Duration::from_millis(9500);
+/// The pause between two iterations of the proxy loop.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Open,
-    /// 503.
-    Busy,
-    /// Nobody listens.
+enum ProxyMode {
+    /// Connections are forwarded to discovery.
+    Forwarding,
+    /// Connections are answered 503.
+    Unavailable,
+    /// No socket listens.
     Refused,
 }
 
-/// What stands before discovery, on an address of its own that nobody else takes meanwhile.
-struct Door {
-    at: SocketAddr,
-    way: Arc<Mutex<Way>>,
+/// A proxy in front of discovery, on a loopback address that no other process binds meanwhile.
+struct Proxy {
+    address: SocketAddr,
+    mode: Arc<Mutex<ProxyMode>>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Door {
-    fn new(discovery: SocketAddr) -> Door {
+impl Proxy {
+    fn new(discovery: SocketAddr) -> Proxy {
         let listener = listen(([127, 0, 0, 2], 0).into());
-        let at = listener.local_addr().unwrap();
-        let door =
-            Door { at, way: Arc::new(Mutex::new(Way::Open)), streams: Arc::new(Mutex::new(Vec::new())) };
-        let (way, streams) = (door.way.clone(), door.streams.clone());
+        let address = listener.local_addr().unwrap();
+        let proxy = Proxy {
+            address,
+            mode: Arc::new(Mutex::new(ProxyMode::Forwarding)),
+            streams: Arc::new(Mutex::new(Vec::new())),
+        };
+        let (mode, streams) = (proxy.mode.clone(), proxy.streams.clone());
         thread::spawn(move || {
             let mut listener = Some(listener);
             loop {
-                // What comes in while the way is open is kept under the same lock, so that an end ends it.
+                // Connections are accepted and recorded under one lock, so that `set` closes every one
+                // accepted before it.
                 let mut open = streams.lock().unwrap();
-                let now = *way.lock().unwrap();
-                match (&listener, now) {
-                    (Some(_), Way::Refused) => listener = None,
-                    (None, Way::Open | Way::Busy) => listener = Some(listen(at)),
+                let current_mode = *mode.lock().unwrap();
+                match (&listener, current_mode) {
+                    (Some(_), ProxyMode::Refused) => listener = None,
+                    (None, ProxyMode::Forwarding | ProxyMode::Unavailable) => {
+                        listener = Some(listen(address))
+                    }
                     (Some(listener), _) => {
-                        if let Ok((caller, _)) = listener.accept() {
-                            caller.set_nonblocking(false).unwrap();
-                            open.push(caller.try_clone().unwrap());
-                            thread::spawn(move || serve(caller, now, discovery));
+                        if let Ok((client, _)) = listener.accept() {
+                            client.set_nonblocking(false).unwrap();
+                            open.push(client.try_clone().unwrap());
+                            thread::spawn(move || serve_connection(client, current_mode, discovery));
                         }
                     }
-                    (None, Way::Refused) => {}
+                    (None, ProxyMode::Refused) => {}
                 }
                 drop(open);
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
             }
         });
-        door
+        proxy
     }
 
-    /// Ends what is open and serves what comes from now on like this.
-    fn set(&self, way: Way) {
+    /// Closes all open connections and handles later ones in this mode.
+    fn set(&self, mode: ProxyMode) {
         let mut open = self.streams.lock().unwrap();
-        *self.way.lock().unwrap() = way;
+        *self.mode.lock().unwrap() = mode;
         for stream in open.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-fn listen(at: SocketAddr) -> TcpListener {
-    let listener = TcpListener::bind(at).unwrap();
+fn listen(address: SocketAddr) -> TcpListener {
+    let listener = TcpListener::bind(address).unwrap();
     listener.set_nonblocking(true).unwrap();
     listener
 }
 
-fn serve(mut caller: TcpStream, way: Way, discovery: SocketAddr) {
-    if way == Way::Busy {
-        let _ = caller.read(&mut [0; 4096]);
-        let _ = caller.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+fn serve_connection(mut client: TcpStream, mode: ProxyMode, discovery: SocketAddr) {
+    if mode == ProxyMode::Unavailable {
+        let _ = client.read(&mut [0; 4096]);
+        let _ = client.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         return;
     }
-    let mut there = TcpStream::connect(discovery).unwrap();
-    let (mut asked, mut asks) = (caller.try_clone().unwrap(), there.try_clone().unwrap());
+    let mut upstream = TcpStream::connect(discovery).unwrap();
+    let (mut client_reader, mut upstream_writer) =
+        (client.try_clone().unwrap(), upstream.try_clone().unwrap());
     thread::spawn(move || {
-        let _ = std::io::copy(&mut asked, &mut asks);
-        let _ = asks.shutdown(Shutdown::Both);
+        let _ = std::io::copy(&mut client_reader, &mut upstream_writer);
+        let _ = upstream_writer.shutdown(Shutdown::Both);
     });
-    let _ = std::io::copy(&mut there, &mut caller);
-    let _ = caller.shutdown(Shutdown::Both);
+    let _ = std::io::copy(&mut upstream, &mut client);
+    let _ = client.shutdown(Shutdown::Both);
 }
 
-/// Plays an outage in which calls fail like this: what is asked for 6 s after the watch's end is sent to nobody, and
-/// all is served again once discovery tells its list.
-fn play(way: Way, failure: &str) {
+/// Runs an outage in which calls fail in this mode. Jobs that arrive later than `LIST_VALIDITY` after the end
+/// of the watch are sent to no runner, and all jobs are served again once discovery sends its list.
+fn run_outage(mode: ProxyMode, failure: &str) {
     let runner = Runner::start("s-0");
     let discovery = Discovery::start(vec![host("s-0", runner.address, "hall-a", "active")]);
-    let door = Door::new(discovery.address);
-    let program = Program::start_with(Program::config(door.at, settings()), None);
+    let proxy = Proxy::new(discovery.address);
+    let program = Program::start_with(Program::config(proxy.address, settings()), None);
     runner.call_back_to(&program);
-    let ask = |timeout: &str| call(program.address, &api_request("pick-route", &new_id(), timeout, ""), "x");
-    assert_eq!(ask("5000m").body, "by s-0");
-    door.set(way);
+    let send_job =
+        |timeout: &str| call(program.address, &api_request("pick-route", &new_id(), timeout, ""), "x");
+    assert_eq!(send_job("5000m").body, "by s-0");
+    proxy.set(mode);
     program.log.wait("watch failed", 1);
-    let ended = Instant::now();
-    assert_eq!(ask("5000m").body, "by s-0", "at first the list holds");
-    while ended.elapsed() < TOLD {
-        ask("300m");
+    let watch_ended_at = Instant::now();
+    assert_eq!(send_job("5000m").body, "by s-0", "the list is still valid at first");
+    while watch_ended_at.elapsed() < LIST_VALIDITY {
+        send_job("300m");
     }
-    let (sent, asked) = (runner.events.count("POST"), program.log.count(failure));
-    while ended.elapsed() < FAILS {
-        assert_eq!(ask("300m").status, 503);
-        assert_eq!(runner.events.count("POST"), sent, "sent {:?} after the watch's end", ended.elapsed());
+    let (sent, failures) = (runner.events.count("POST"), program.log.count(failure));
+    while watch_ended_at.elapsed() < OUTAGE {
+        assert_eq!(send_job("300m").status, 503);
+        assert_eq!(
+            runner.events.count("POST"),
+            sent,
+            "sent {:?} after the watch's end",
+            watch_ended_at.elapsed()
+        );
     }
-    assert!(asked > 0 && program.log.count(failure) > asked, "discovery is asked all the while");
-    door.set(Way::Open);
+    assert!(
+        failures > 0 && program.log.count(failure) > failures,
+        "discovery is called throughout the outage"
+    );
+    proxy.set(ProxyMode::Forwarding);
     program.log.wait("list Full", 2);
-    assert_eq!(ask("5000m").body, "by s-0", "discovery has told its list again");
+    assert_eq!(send_job("5000m").body, "by s-0", "discovery has sent its list again");
 }
 
 #[test]
-fn nothing_is_sent_by_a_lost_list_while_calls_are_refused() {
-    play(Way::Refused, "watch failed: Failed to connect");
+fn an_expired_list_is_not_used_while_calls_are_refused() {
+    run_outage(ProxyMode::Refused, "watch failed: Failed to connect");
 }
 
 #[test]
-fn nothing_is_sent_by_a_lost_list_while_calls_are_turned_down() {
-    play(Way::Busy, "watch failed: answered 503");
+fn an_expired_list_is_not_used_while_calls_are_answered_503() {
+    run_outage(ProxyMode::Unavailable, "watch failed: answered 503");
 }
--- a/node/tests/retuning.rs
+++ b/node/tests/retuning.rs
@@ -1,4 +1,5 @@
-//! New settings in the reducer while requests are under way, and leave to begin, on a simulated clock.
+//! New settings in the core while requests are in progress, and the permission to start a decided attempt, on
+//! a simulated clock.
 
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -48,8 +49,8 @@
 }
 
 fn core(tenants: &[&str]) -> Core<usize> {
-    let roster = SocketAddr::from(([127, 0, 0, 1], 8500));
-    Core::new(settings(tenants.len()), tables(tenants), roster, 1, START, 20).unwrap()
+    let discovery = SocketAddr::from(([127, 0, 0, 1], 8500));
+    Core::new(settings(tenants.len()), tables(tenants), discovery, 1, START, 20).unwrap()
 }
 
 fn arrive(
@@ -89,7 +90,7 @@
     started(core.step(now, Input::List(Source::Discovery, sr::ListKind::Full, all)))
 }
 
-/// The jobs whose attempts start, in this order.
+/// Returns the jobs whose attempts start, in order.
 fn started(effects: Vec<Effect<usize>>) -> Vec<usize> {
     let jobs = effects.into_iter().filter_map(|effect| match effect {
         Effect::Start { job, .. } => Some(job),
@@ -98,51 +99,52 @@
     jobs.collect()
 }
 
-/// Where the new settings give nobody a share, nobody is beyond it: a tenant that had one before is served
-/// in its turn.
+/// If the new settings give no tenant a share, no tenant is over its share: a tenant that had one is served
+/// in arrival order.
 #[test]
 fn a_tenants_share_ends_with_the_settings_that_gave_it() {
-    for (vanish, order) in [(true, [0, 1]), (false, [1, 0])] {
+    for (all_vanish, order) in [(true, [0, 1]), (false, [1, 0])] {
         let mut core = core(&["mehran", "ravi"]);
-        let names: &[&str] = if vanish { &[] } else { &["ravi"] };
+        let names: &[&str] = if all_vanish { &[] } else { &["ravi"] };
         let rules = vec![keys::Retention { window: SECOND, uncertain_ttl: SECOND }; 2];
         let (settings, tables) = (settings(names.len()), tables(names));
         core.step(
             START,
             Input::Reconfigure(Box::new(Reconfiguration { settings, tables, rules, until: START })),
         );
-        let ravi = (!vanish).then_some(1);
+        let ravi_tenant = (!all_vanish).then_some(1);
         assert!(arrive(&mut core, START, 0, 0, Some(0)).is_empty());
-        assert!(arrive(&mut core, START, 1, 0, ravi).is_empty());
-        // One that is not named any more, beside others that are, comes after them.
-        assert_eq!(list(&mut core, START, &["s-0"]), order, "all vanish: {vanish}");
+        assert!(arrive(&mut core, START, 1, 0, ravi_tenant).is_empty());
+        // A tenant that is no longer named comes after those that are.
+        assert_eq!(list(&mut core, START, &["s-0"]), order, "all vanish: {all_vanish}");
     }
 }
 
-/// An attempt may wait for its connection after it was decided on. It has leave to begin as long as it is out,
-/// somebody waits in time, and a repeat of it comes while the first is known.
+/// An attempt may wait for its connection after the decision. It may still begin while it is running, a
+/// client waits whose deadline has not passed, and, for a retry, the first attempt is still remembered.
 #[test]
-fn leave_to_begin_ends_with_the_client_the_deadline_and_the_window() {
+fn permission_to_begin_ends_with_the_client_the_deadline_and_the_window() {
     let attempt = |number| AttemptId { request: 0, number };
-    let later = |s: f64| START + sr::Span::from_secs(s);
-    let out = |class| {
+    let after = |s: f64| START + sr::Span::from_secs(s);
+    let start_attempt = |class| {
         let mut core = core(&[]);
         list(&mut core, START, &["s-0", "s-1"]);
         assert_eq!(arrive(&mut core, START, 0, class, None), [0]);
         core
     };
-    let mut left = out(0);
-    assert!(left.may_begin(later(5.9), attempt(0)) && !left.may_begin(later(6.0), attempt(0)));
-    left.step(later(0.1), Input::ClientGone(Ticket(0)));
-    assert!(!left.may_begin(later(0.1), attempt(0)), "its client has left");
-    // The first may have run; the second is decided on within the window, and may begin up to its end.
-    for (class, ends) in [(1, true), (0, false)] {
-        let mut core = out(class);
-        let ending = AttemptEnd::without_report(sr::Outcome::Error);
-        let again = core.step(later(0.5), Input::AttemptEnded(attempt(0), ending));
-        assert_eq!(started(again), [0]);
-        assert!(!core.may_begin(later(0.9), attempt(0)), "it is over");
-        assert!(core.may_begin(later(0.9), attempt(1)));
-        assert_eq!(core.may_begin(later(1.0), attempt(1)), !ends);
+    let mut core = start_attempt(0);
+    assert!(core.may_begin(after(5.9), attempt(0)) && !core.may_begin(after(6.0), attempt(0)));
+    core.step(after(0.1), Input::ClientGone(Ticket(0)));
+    assert!(!core.may_begin(after(0.1), attempt(0)), "its client has left");
+    // The first attempt may have run. The second is decided within the window and may begin until the window
+    // ends.
+    for (class, window_applies) in [(1, true), (0, false)] {
+        let mut core = start_attempt(class);
+        let attempt_end = AttemptEnd::without_report(sr::Outcome::Error);
+        let retry = core.step(after(0.5), Input::AttemptEnded(attempt(0), attempt_end));
+        assert_eq!(started(retry), [0]);
+        assert!(!core.may_begin(after(0.9), attempt(0)), "it is over");
+        assert!(core.may_begin(after(0.9), attempt(1)));
+        assert_eq!(core.may_begin(after(1.0), attempt(1)), !window_applies);
     }
 }
--- a/node/tests/wires.rs
+++ b/node/tests/wires.rs
@@ -1,5 +1,5 @@
-//! The small parts of the wires: objects cut out of a stream, identities, calls at the operators' door, the
-//! register of doors and the socket handed down. It owns what each makes of good and bad words.
+//! Protocol parsers and helpers: JSON objects cut from a stream, SPIFFE ids, commands on the admin socket,
+//! the registry of peer processes, and the inherited listening socket. Each with valid and invalid input.
 
 use sablerun_node::metrics::Metrics;
 use sablerun_node::net::admin::{AdminLimits, Command, execute, parse};
@@ -13,12 +13,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-/// All objects of a text that comes in chunks of a length, or why one can't be read.
+/// Returns all objects of a text that arrives in chunks of this size, or the parse error.
 fn read(text: &str, chunk: usize) -> Result<Vec<Value>, String> {
-    let (mut objects, mut all) = (JsonStream::new(200), Vec::new());
-    for part in text.as_bytes().chunks(chunk) {
-        objects.extend(part);
-        while let Some(object) = objects.next()? {
+    let (mut stream, mut all) = (JsonStream::new(200), Vec::new());
+    for bytes in text.as_bytes().chunks(chunk) {
+        stream.extend(bytes);
+        while let Some(object) = stream.next()? {
             all.push(object);
         }
     }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn objects_come_out_whole_however_they_are_indented_and_cut() {
+fn objects_are_parsed_whole_whatever_their_indentation_and_chunks() {
     let (one, two) = (json!({"seq": 1, "hosts": [{"host": "a}"}]}), json!({"seq": 2, "hosts": []}));
     let pretty = serde_json::to_string_pretty(&one).expect("it is an object");
     let text = format!("\n{pretty}\r\n\n\n{two}\n{one}{two}\n");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_no_object_or_too_long_is_named() {
+fn invalid_or_oversized_objects_get_a_clear_error() {
     assert!(read("{\"seq\": nonsense}", 3).unwrap_err().contains("can't be read"));
     assert_eq!(read("503 busy", 100).unwrap_err(), "what comes is no object");
     assert!(read(&format!("{{\"a\": \"{}", "x".repeat(300)), 7).unwrap_err().contains("longer than 200"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn ids_are_read_as_their_document_says() {
+fn spiffe_ids_are_parsed_as_the_standard_says() {
     let id = SpiffeId::parse("spiffe://karachi-east.example/pick-node/7").unwrap();
     assert_eq!(id.trust_domain(), "karachi-east.example");
     assert!(SpiffeId::parse("spiffe://example.org").is_ok());
@@ -72,20 +72,20 @@
     assert!(SpiffeId::parse(&format!("spiffe://example.org/{}", "a".repeat(2048))).is_err());
 }
 
-/// A change that the serving thread never carries out is answered with a whole line all the same.
+/// An admin command that the serving thread does not apply in time is still answered with a whole line.
 #[test]
-fn a_change_not_carried_out_in_time_gets_a_whole_line() {
+fn a_command_not_applied_in_time_gets_a_whole_line() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
-    let (asks, _held) = mpsc::unbounded_channel();
+    let (command_sender, _command_receiver) = mpsc::unbounded_channel();
     let limits =
         AdminLimits { execute_timeout: std::time::Duration::from_millis(1), ..AdminLimits::default() };
-    let figures = Metrics::default();
-    let said = runtime.block_on(execute(Command::Disable("s-0".into()), &figures, &asks, limits));
-    assert_eq!(said, "ERR not carried out within 1 ms: call again\n");
+    let metrics = Metrics::default();
+    let reply = runtime.block_on(execute(Command::Disable("s-0".into()), &metrics, &command_sender, limits));
+    assert_eq!(reply, "ERR not carried out within 1 ms: call again\n");
 }
 
 #[test]
-fn calls_are_read_and_what_is_wrong_is_named() {
+fn admin_commands_are_parsed_and_errors_are_clear() {
     assert_eq!(parse(b"READY\n"), Ok(Command::Ready));
     assert_eq!(parse(b"stats\r\n"), Ok(Command::Stats));
     assert_eq!(parse(b"DISABLE s-0badcafe\n"), Ok(Command::Disable("s-0badcafe".into())));
@@ -99,21 +99,25 @@
 }
 
 #[test]
-fn a_call_back_goes_to_the_door_that_has_the_job_and_dead_doors_are_struck_off() {
+fn a_call_back_is_forwarded_to_the_owner_and_dead_peers_are_removed() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let second = Duration::from_secs(10);
-    let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
-    let here = PeerRegistry::register(folder.path().to_owned(), at(1), second).unwrap();
-    let listed = || std::fs::read_dir(folder.path()).unwrap().count();
+    let timeout = Duration::from_secs(10);
+    let loopback = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
+    let own_registration = PeerRegistry::register(folder.path().to_owned(), loopback(1), timeout).unwrap();
+    let registered = || std::fs::read_dir(folder.path()).unwrap().count();
     runtime.block_on(async {
-        assert_eq!(here.forward("{}").await, Forwarded::NoOwner, "there is only this process");
-        // Port 2 is nobody's; the other door answers busy once and takes the call then.
+        assert_eq!(
+            own_registration.forward("{}").await,
+            Forwarded::NoOwner,
+            "no other process is registered"
+        );
+        // Nothing listens on port 2; the other admin socket answers busy once and then accepts the call.
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let there = listener.local_addr().unwrap();
-        let dead = PeerRegistry::register(folder.path().to_owned(), at(2), second).unwrap();
-        let live = PeerRegistry::register(folder.path().to_owned(), there, second).unwrap();
-        assert_eq!(listed(), 3);
+        let live_address = listener.local_addr().unwrap();
+        let dead = PeerRegistry::register(folder.path().to_owned(), loopback(2), timeout).unwrap();
+        let live = PeerRegistry::register(folder.path().to_owned(), live_address, timeout).unwrap();
+        assert_eq!(registered(), 3);
         let serve = tokio::spawn(async move {
             let mut calls = Vec::new();
             for answer in ["ERR busy: too many calls at once, call again\n", "OK\n", "ERR no job\n"] {
@@ -125,22 +129,22 @@
             }
             calls
         });
-        assert_eq!(here.forward(r#"{"id":"a"}"#).await, Forwarded::Accepted);
-        assert_eq!(listed(), 2, "the dead one is struck off");
-        assert_eq!(here.forward(r#"{"id":"b"}"#).await, Forwarded::NoOwner);
+        assert_eq!(own_registration.forward(r#"{"id":"a"}"#).await, Forwarded::Accepted);
+        assert_eq!(registered(), 2, "the dead peer is removed");
+        assert_eq!(own_registration.forward(r#"{"id":"b"}"#).await, Forwarded::NoOwner);
         assert_eq!(
             serve.await.unwrap(),
             ["TOLD {\"id\":\"a\"}\n", "TOLD {\"id\":\"a\"}\n", "TOLD {\"id\":\"b\"}\n"]
         );
         drop((dead, live));
-        assert_eq!(listed(), 1);
+        assert_eq!(registered(), 1);
     });
-    drop(here);
-    assert_eq!(listed(), 0);
+    drop(own_registration);
+    assert_eq!(registered(), 0);
 }
 
 #[test]
-fn what_is_no_listening_socket_is_named() {
+fn an_invalid_listening_socket_gets_a_clear_error() {
     assert!(listener_from_fd("five").unwrap_err().contains("is no descriptor number"));
     assert!(listener_from_fd("2").unwrap_err().contains("standard stream"));
     assert!(listener_from_fd("1000000").unwrap_err().contains("is not open"));
