--- a/node/tests/digest/simulation.rs
+++ b/node/tests/digest/simulation.rs
@@ -87,7 +87,7 @@
             zone: "a".to_owned(),
             kind: "k".to_owned(),
             cell: 0,
-            standing: sr::WorkerState::Ready,
+            state: sr::WorkerState::Ready,
             size: 1.0,
             up_since: None,
         });
--- a/node/tests/faktory_model.rs
+++ b/node/tests/faktory_model.rs
@@ -121,9 +121,7 @@
         let _ = reader.read_line(&mut text).await;
         match expected {
             None => assert_eq!(text, "", "{state:?} {line}"),
-            Some(start) => {
-                assert!(text.starts_with(start), "{state:?} {line:?}: {text:?}, not {start:?}")
-            }
+            Some(start) => assert!(text.starts_with(start), "{state:?} {line:?}: {text:?}, not {start:?}"),
         }
         if expected == Some("$") {
             let mut body = vec![0; text[1..].trim().parse::<usize>().unwrap() + 2];
--- a/node/tests/model/apply.rs
+++ b/node/tests/model/apply.rs
@@ -5,7 +5,7 @@
 use crate::steps::Step;
 use sablerun as sr;
 use sablerun_keys as keys;
-use sablerun_node::core::{Arrival, AttemptEnd, Input, Key, Source, Ticket};
+use sablerun_node::core::{Arrival, AttemptEnd, IdempotencyKey, Input, Source, Ticket};
 
 impl Model {
     /// Advances the clock, with each timer at its time.
@@ -49,7 +49,7 @@
                     memory: 0.0,
                     estimate: sr::Span(0),
                     retry,
-                    key: key.filter(|_| class > 0).map(|key| Key {
+                    key: key.filter(|_| class > 0).map(|key| IdempotencyKey {
                         text: format!("k{key}").into(),
                         fingerprint: keys::Fingerprint([key; 16]),
                     }),
@@ -107,12 +107,12 @@
                     None,
                 );
             }
-            Step::Unusable(index) if !self.attempts.is_empty() => {
+            Step::RequestRejected(index) if !self.attempts.is_empty() => {
                 let number = index.index(self.attempts.len());
                 let (ticket, id, ended) =
                     (self.attempts[number].ticket, self.attempts[number].id, self.attempts[number].ended);
                 let expected_end = ended.is_none().then_some((number, sr::Outcome::Error));
-                self.step_core(Input::Unusable(id), expected_end);
+                self.step_core(Input::RequestRejected(id), expected_end);
                 if ended.is_none() {
                     let waits = |r: &Request| r.leader == ticket && r.client == Client::Waiting;
                     assert!(
@@ -153,7 +153,7 @@
                 self.step_core(Input::StopAt(stop), None);
             }
             Step::Advance { ms } => self.advance_to(self.now + sr::Span(ms * 1_000_000)),
-            Step::Unusable(_)
+            Step::RequestRejected(_)
             | Step::StopIn { .. }
             | Step::ClientLeaves(_)
             | Step::Started(_)
--- a/node/tests/model/state.rs
+++ b/node/tests/model/state.rs
@@ -66,9 +66,9 @@
     format!("s-{runner}")
 }
 
-pub fn listed_runner(runner: usize, standing: sr::WorkerState) -> ListedRunner {
+pub fn listed_runner(runner: usize, state: sr::WorkerState) -> ListedRunner {
     let (zone, kind) = (ZONES[runner].to_owned(), "k".to_owned());
-    ListedRunner { name: runner_name(runner), zone, kind, cell: 0, standing, size: 1.0, up_since: None }
+    ListedRunner { name: runner_name(runner), zone, kind, cell: 0, state, size: 1.0, up_since: None }
 }
 
 /// The idempotency of each class.
--- a/node/tests/model/steps.rs
+++ b/node/tests/model/steps.rs
@@ -24,7 +24,7 @@
     /// A runner repeats the call-back that ended an attempt because the answer to the first was lost.
     RepeatedCallBack(prop::sample::Index),
     /// A runner reports that it cannot use the request of an attempt.
-    Unusable(prop::sample::Index),
+    RequestRejected(prop::sample::Index),
     /// A call-back from a runner that may not have the job at all.
     UnmatchedCallBack {
         index: prop::sample::Index,
@@ -63,7 +63,7 @@
         6 => (any_index(), any::<bool>(), outcome)
             .prop_map(|(index, by_call_back, outcome)| Step::Ended { index, by_call_back, outcome }),
         3 => any_index().prop_map(Step::RepeatedCallBack),
-        1 => any_index().prop_map(Step::Unusable),
+        1 => any_index().prop_map(Step::RequestRejected),
         1 => (any_index(), 0..4usize).prop_map(|(index, runner)| Step::UnmatchedCallBack { index, runner }),
         2 => (0..4usize, state).prop_map(|(runner, state)| Step::List { runner, state }),
         1 => Just(Step::ListFailed),
