--- a/node/tests/gateway.rs
+++ b/node/tests/gateway.rs
@@ -202,10 +202,10 @@
 /// and jobs beyond the share are served after jobs of other members within their share.
 #[test]
 fn both_fronts_count_under_one_members_share() {
-    let mut tight = settings();
-    tight["projects"][0]["quotaPerS"] = json!(1.0);
-    tight["services"][3]["objective"] = json!(5_000_000_000u64);
-    let (_discovery, program, address) = start(GATEWAY_CONFIG, tight);
+    let mut limited = settings();
+    limited["projects"][0]["quotaPerS"] = json!(1.0);
+    limited["services"][3]["objective"] = json!(5_000_000_000u64);
+    let (_discovery, program, address) = start(GATEWAY_CONFIG, limited);
     let ids: Vec<String> = (0..3).map(|_| new_id()).collect();
     let (id, to) = (ids[0].clone(), program.address);
     let within =
@@ -221,9 +221,12 @@
     assert_eq!(within.join().unwrap(), 200);
     assert_eq!((beyond.join().unwrap().as_str(), other.join().unwrap().as_str()), ("+OK", "+OK"));
     let all_events = events.all();
-    let place =
+    let position_of =
         |id: &String| all_events.iter().position(|event| event.contains(&format!("got serve {id}"))).unwrap();
-    assert!(place(&ids[0]) < place(&ids[2]) && place(&ids[2]) < place(&ids[1]), "{all_events:?}");
+    assert!(
+        position_of(&ids[0]) < position_of(&ids[2]) && position_of(&ids[2]) < position_of(&ids[1]),
+        "{all_events:?}"
+    );
 }
 
 // ---- SPIFFE ----
--- a/node/tests/gone.rs
+++ b/node/tests/gone.rs
@@ -21,7 +21,7 @@
     let up = "GET /up HTTP/1.1\r\nHost: t\r\n\r\n";
     let trailing_data =
         [String::new(), up.to_owned(), up.repeat(30_000), "x".repeat(200 * 1024), "\r\n".repeat(300_000)];
-    let mut left = 0;
+    let mut departures = 0;
     for trailing in &trailing_data {
         for how in ["fin", "rst", "half"] {
             let id = new_id();
@@ -38,8 +38,8 @@
             }
             let half_closed = (how == "half").then(|| stream.try_clone().unwrap());
             drop(stream);
-            left += 1;
-            program.log.wait("a client has left", left);
+            departures += 1;
+            program.log.wait("a client has left", departures);
             if program.log.count(&format!("took {id}")) > 0 {
                 runner.events.wait(&format!("DELETE {id}"), 1);
             }
--- a/node/tests/key_snapshots.rs
+++ b/node/tests/key_snapshots.rs
@@ -42,10 +42,10 @@
 fn a_snapshot_restores_the_keys_after_a_kill_and_after_a_graceful_shutdown() {
     for graceful in [false, true] {
         let folder = test_dir();
-        // The first start has no predecessor, so it treats unknown retries as uncertain for `doubt_s` and
-        // would pass that period on to its successor.
-        let doubt = format!("[keys]\ndoubt_s = {}\n\n", if graceful { 0 } else { 60 });
-        let operator = doubt + &snapshot_config(&folder);
+        // The first start has no predecessor, so retries with unknown keys fail for `doubt_s`, and a snapshot
+        // taken within that time does not count as complete for the successor.
+        let keys_section = format!("[keys]\ndoubt_s = {}\n\n", if graceful { 0 } else { 60 });
+        let operator = keys_section + &snapshot_config(&folder);
         let halls = TwoHalls::start();
         let key = format!("k{graceful}");
         let mut program = halls.program(&operator);
