--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,30 +1,32 @@
-//! A world in miniature for the tests: it delivers timers, keeps attempts, and checks the five rules
-//! on every action. It models no server; the test says what each attempt does.
+//! The test harness: [`World`] is the simulated environment of one balancer. It delivers timers, tracks
+//! attempts, and checks on every action the rules that the balancer must keep. It does not model workers:
+//! the test says what becomes of each attempt, or uses the simulated workers of `cold_workers` and
+//! `worker_pool`.
 #![allow(dead_code, unused_imports)]
 
-pub mod cold;
-mod play;
-pub mod workers;
+pub mod cold_workers;
+mod traffic;
+pub mod worker_pool;
 mod world;
 
-pub use play::*;
+pub use traffic::*;
 pub use world::*;
 
 use sablerun::*;
 use std::collections::BTreeMap;
 
-/// The clock that the tests start at.
+/// The time at which the tests start.
 pub const START: Time = Time(5_000_000_000);
 
-/// How long after the deadline an answer still counts: 20 ms.
+/// How long after its deadline an answer still counts as on time: 20 ms.
 pub const ANSWER_SLACK: Span = Span(20_000_000);
 
-/// A length in milliseconds.
+/// Returns a span of `n` milliseconds.
 pub fn ms(n: u64) -> Span {
     Span(n * 1_000_000)
 }
 
-/// A class with an objective of 200 ms and a deadline of 5 s.
+/// Returns a class with an objective of 200 ms and a deadline of 5 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         objective: ms(200),
@@ -38,7 +40,7 @@
     }
 }
 
-/// Two dispatchers; classes: 0 safe, 1 unsafe, 2 keyed by cell, 3 keyed by all.
+/// Returns settings for two dispatchers and four classes: 0 safe, 1 unsafe, 2 keyed by cell, 3 keyed by all.
 pub fn settings() -> Settings {
     Settings {
         dispatchers: 2,
@@ -60,7 +62,7 @@
     }
 }
 
-/// A worker in zone and cell `n % 2`.
+/// Returns the list entry of a ready worker in zone and cell `n % 2`.
 pub fn worker(n: u32) -> ListEntry {
     ListEntry {
         worker: WorkerId(n),
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,159 +1,169 @@
-//! The checker: a world in miniature round one dispatcher. It owns the clock, the timers and every attempt,
-//! and notes each of the five rules that an action breaks. It must never model a server or excuse a breach.
+//! The simulated environment of one balancer: the clock, the timers and all attempts. It checks every action
+//! and records each violation of the rules: a request gets one answer, by its deadline; it takes effect once,
+//! as its class's idempotency demands; retries stay within the budget; and a worker that has drained gets no
+//! work. Does not model workers.
 
 use super::*;
 
-/// A request as the checker knows it.
+/// A request as the environment tracks it.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct TrackedRequest {
     pub class: ClassId,
     pub deadline: Time,
-    pub settled: bool,
+    pub finished: bool,
     /// Worker, send time and outcome of each attempt.
     pub attempts: Vec<(WorkerId, Time, Option<Outcome>)>,
 }
 
-impl Known {
-    /// Worker and send time of the first attempt that may have run.
+impl TrackedRequest {
+    /// Returns the worker and send time of the first attempt that may have run.
     fn may_have_run(&self) -> Option<(WorkerId, Time)> {
         let first = self.attempts.iter().find(|a| a.2.is_none_or(|o| !o.never_ran()));
         first.map(|a| (a.0, a.1))
     }
 }
 
-/// The checker.
+/// The simulated environment of one balancer, and the rule checker.
 pub struct World {
     pub settings: Settings,
     pub balancer: Balancer,
     pub now: Time,
     pub timers: BTreeMap<(Time, u64), u64>,
-    pub requests: BTreeMap<RequestId, Known>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
+    /// The latest list entry of each worker, and when its state was first reported.
     pub list: BTreeMap<WorkerId, (ListEntry, Time)>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub log: Vec<(Time, Action)>,
-    serial: u64,
-    /// When each worker was first told to drain since its latest start, and that start.
+    timer_serial: u64,
+    /// When each worker was first reported as draining since its latest start, and that start.
     drains: BTreeMap<WorkerId, (Option<Time>, Option<Time>)>,
-    /// When requests were taken and attempts beyond a first one made.
-    pub(super) taken: Vec<Time>,
-    further: Vec<Time>,
-    /// Times of the sends to each cold worker.
+    /// When requests were admitted, and when attempts beyond a first one were made.
+    pub(super) admitted: Vec<Time>,
+    retries: Vec<Time>,
+    /// Times of the sends to each worker in slow start.
     pub cold_sends: BTreeMap<WorkerId, Vec<Time>>,
 }
 
 impl World {
     pub fn new(settings: Settings, seed: u64) -> World {
         World {
-            balancer: Balancer::new(settings.clone(), seed, START).expect("sound settings"),
+            balancer: Balancer::new(settings.clone(), seed, START).expect("valid settings"),
             settings,
             now: START,
             timers: BTreeMap::new(),
             requests: BTreeMap::new(),
             list: BTreeMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             log: Vec::new(),
-            serial: 0,
+            timer_serial: 0,
             drains: BTreeMap::new(),
-            taken: Vec::new(),
-            further: Vec::new(),
+            admitted: Vec::new(),
+            retries: Vec::new(),
             cold_sends: BTreeMap::new(),
         }
     }
 
+    /// Delivers a worker list, and records when each worker's state was reported.
     pub fn list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
         if kind != ListKind::Delta {
-            for (entry, told) in self.list.values_mut() {
+            for (entry, reported_at) in self.list.values_mut() {
                 if !entries.iter().any(|e| e.worker == entry.worker) && entry.state == WorkerState::Ready {
-                    (entry.state, *told) = (WorkerState::Gone, self.now);
+                    (entry.state, *reported_at) = (WorkerState::Gone, self.now);
                 }
             }
         }
         for entry in &entries {
-            let (drained, up) = self.drains.entry(entry.worker).or_insert((None, entry.up_since));
-            if entry.up_since > *up {
-                (*drained, *up) = (None, entry.up_since);
+            let (drained, up_since_seen) = self.drains.entry(entry.worker).or_insert((None, entry.up_since));
+            if entry.up_since > *up_since_seen {
+                (*drained, *up_since_seen) = (None, entry.up_since);
             }
             if entry.state == WorkerState::Draining {
                 drained.get_or_insert(self.now);
             }
-            let told = match self.list.get(&entry.worker) {
-                Some((old, told)) if old.state == entry.state => *told,
+            let reported_at = match self.list.get(&entry.worker) {
+                Some((old, reported_at)) if old.state == entry.state => *reported_at,
                 _ => self.now,
             };
-            self.list.insert(entry.worker, (entry.clone(), told));
+            self.list.insert(entry.worker, (entry.clone(), reported_at));
         }
-        self.event(Event::List(kind, entries));
+        self.deliver(Event::List(kind, entries));
     }
 
-    /// Passes time, delivering the timers that fall due on the way.
-    pub fn pass(&mut self, span: Span) {
+    /// Advances the clock and delivers the timers that fall due on the way.
+    pub fn advance(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some((&(at, serial), &token)) = self.timers.iter().next().filter(|(k, _)| k.0.0 <= until.0)
+        while let Some((&(at, timer_serial), &token)) =
+            self.timers.iter().next().filter(|(k, _)| k.0.0 <= until.0)
         {
-            self.timers.remove(&(at, serial));
+            self.timers.remove(&(at, timer_serial));
             self.now = self.now.max(at).max(self.now + Span(1));
-            self.event(Event::Timer(token));
+            self.deliver(Event::Timer(token));
         }
         self.now = self.now.max(until);
         let now = self.now;
-        for (id, known) in &self.requests {
-            if !known.settled && now > known.deadline + ANSWER_SLACK {
-                self.broken.push(format!("{id:?} was lost"));
+        for (id, tracked) in &self.requests {
+            if !tracked.finished && now > tracked.deadline + ANSWER_SLACK {
+                self.violations.push(format!("{id:?} was lost"));
             }
         }
     }
 
-    pub fn event(&mut self, event: Event) {
+    /// Delivers an event to the balancer, and applies and logs its actions.
+    pub fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.log.push((self.now, action.clone()));
-            self.action(&action);
+            self.apply(&action);
         }
     }
 
-    /// Applies an action and notes each rule that it breaks.
-    pub fn action(&mut self, action: &Action) {
+    /// Applies an action and records each rule that it violates.
+    pub fn apply(&mut self, action: &Action) {
         let now = self.now;
         match *action {
             Action::Timer(at, token) => {
-                self.serial += 1;
-                self.timers.insert((at, self.serial), token);
+                self.timer_serial += 1;
+                self.timers.insert((at, self.timer_serial), token);
             }
-            Action::Send(id, worker) => self.sent(id, worker),
+            Action::Send(id, worker) => self.record_send(id, worker),
             Action::Refuse(id, _) | Action::Fail(id) => {
-                let known = self.requests.get_mut(&id).expect("a known request");
-                let effect = self.settings.classes[known.class.0 as usize].idempotency;
-                let may = known.may_have_run().is_some();
+                let tracked = self.requests.get_mut(&id).expect("a known request");
+                let idempotency = self.settings.classes[tracked.class.0 as usize].idempotency;
+                let possibly_ran = tracked.may_have_run().is_some();
                 let refused = matches!(action, Action::Refuse(..));
-                let harmless = matches!(effect, Idempotency::Safe | Idempotency::Keyed(DedupScope::All));
-                if refused && may && !harmless {
-                    self.broken.push(format!("{id:?} refused though it may have run"));
+                let harmless = matches!(idempotency, Idempotency::Safe | Idempotency::Keyed(DedupScope::All));
+                if refused && possibly_ran && !harmless {
+                    self.violations.push(format!("{id:?} refused though it may have run"));
                 }
-                if known.settled {
-                    self.broken.push(format!("{id:?} answered twice"));
+                if tracked.finished {
+                    self.violations.push(format!("{id:?} answered twice"));
                 }
-                if now > known.deadline + ANSWER_SLACK {
-                    self.broken.push(format!("{id:?} answered late"));
+                if now > tracked.deadline + ANSWER_SLACK {
+                    self.violations.push(format!("{id:?} answered late"));
                 }
-                known.settled = true;
+                tracked.finished = true;
             }
             Action::Cancel(id, attempt) => {
-                let known = &self.requests[&id];
-                assert!((attempt as usize) < known.attempts.len(), "an attempt never made");
+                let tracked = &self.requests[&id];
+                assert!(
+                    (attempt as usize) < tracked.attempts.len(),
+                    "cancelled an attempt that was never made"
+                );
             }
             Action::Subscribe | Action::Fetch | Action::Probe(_) | Action::CloseIdle(_) => {}
         }
     }
 
-    fn sent(&mut self, id: RequestId, worker: WorkerId) {
+    /// Records an attempt, and each rule that it violates.
+    fn record_send(&mut self, id: RequestId, worker: WorkerId) {
         let now = self.now;
-        let known = self.requests.get_mut(&id).expect("a known request");
-        if known.settled {
-            self.broken.push(format!("{id:?} sent after its answer"));
+        let tracked = self.requests.get_mut(&id).expect("a known request");
+        if tracked.finished {
+            self.violations.push(format!("{id:?} sent after its answer"));
         }
-        let class = &self.settings.classes[known.class.0 as usize];
-        if let Some(first) = known.may_have_run() {
+        let class = &self.settings.classes[tracked.class.0 as usize];
+        if let Some(first) = tracked.may_have_run() {
             let cell = |w: WorkerId| self.list[&w].0.cell;
             let twice = match class.idempotency {
                 Idempotency::Safe => false,
@@ -164,29 +174,29 @@
                 }
             };
             if twice {
-                self.broken.push(format!("{id:?} may take effect twice"));
+                self.violations.push(format!("{id:?} may take effect twice"));
             }
-            if !self.settings.parallel_attempts && known.attempts.iter().any(|a| a.2.is_none()) {
-                self.broken.push(format!("{id:?} has two attempts outstanding"));
+            if !self.settings.parallel_attempts && tracked.attempts.iter().any(|a| a.2.is_none()) {
+                self.violations.push(format!("{id:?} has two attempts outstanding"));
             }
         }
         if let Some(Budget { floor, ratio, window }) = self.settings.budget
-            && !known.attempts.is_empty()
+            && !tracked.attempts.is_empty()
         {
-            self.further.push(now);
+            self.retries.push(now);
             let within = |times: &[Time]| times.iter().filter(|t| **t + window > now).count() as f64;
-            if within(&self.further) > floor + ratio * within(&self.taken) + 1e-9 {
-                self.broken.push(format!("{id:?} got an attempt beyond the budget"));
+            if within(&self.retries) > floor + ratio * within(&self.admitted) + 1e-9 {
+                self.violations.push(format!("{id:?} got an attempt beyond the budget"));
             }
         }
-        known.attempts.push((worker, now, None));
-        let (entry, told) = &self.list[&worker];
-        let told = match self.settings.only_draining_excludes {
+        tracked.attempts.push((worker, now, None));
+        let (entry, reported_at) = &self.list[&worker];
+        let reported_at = match self.settings.only_draining_excludes {
             true => self.drains[&worker].0,
-            false => Some(*told).filter(|_| entry.state != WorkerState::Ready),
+            false => Some(*reported_at).filter(|_| entry.state != WorkerState::Ready),
         };
-        if told.is_some_and(|told| now > told + self.settings.drain_grace) {
-            self.broken.push(format!("{worker:?} got work after its drain"));
+        if reported_at.is_some_and(|reported_at| now > reported_at + self.settings.drain_grace) {
+            self.violations.push(format!("{worker:?} got work after its drain"));
         }
         if entry.up_since.is_some_and(|up| now < up + self.settings.warm_after) {
             self.cold_sends.entry(worker).or_default().push(now);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Many dispatchers on one simulated clock: what each does harmlessly alone must not add up to harm.
-//! It owns a stand-in for discovery; it must never wait for real time or draw without a seed.
+//! Many dispatchers and a simulated discovery service on one simulated clock. Guards against a thundering
+//! herd: list requests that are harmless from one dispatcher but overload discovery when a whole fleet makes
+//! them.
 
 mod common;
 
@@ -7,78 +8,83 @@
 use sablerun::*;
 use std::collections::BinaryHeap;
 
-/// How many of `fleet` dispatchers that start or lose their watches together have one after `run`, and the calls
-/// made. Discovery handles calls in turn, `pace` each; one that has waited 2 s fails, but still takes its turn.
-fn listed_after(fleet: u32, pace: Span, run: Span, loss: Option<&Event>) -> (usize, usize) {
+/// Lets a fleet start, or lose its watches, all at once. Returns how many dispatchers have a watch after
+/// `run`, and the number of calls made. Discovery handles one call at a time, in `call_time`; a call that has
+/// waited 2 s fails, but is still handled.
+fn listed_after(fleet_size: u32, call_time: Span, run: Span, loss: Option<&Event>) -> (usize, usize) {
     let settings =
-        Settings { discovery: Discovery::OnRequest, dispatchers: fleet, probing: false, ..settings() };
-    let mut worlds: Vec<World> = (0..fleet)
+        Settings { discovery: Discovery::OnRequest, dispatchers: fleet_size, probing: false, ..settings() };
+    let mut worlds: Vec<World> = (0..fleet_size)
         .map(|number| World::new(Settings { number, ..settings.clone() }, 77 + u64::from(number)))
         .collect();
     for world in &mut worlds {
         world.list(ListKind::Saved, vec![worker(0)]);
         if let Some(loss) = loss {
-            world.pass(ms(10_000));
+            world.advance(ms(10_000));
             world.list(ListKind::Full, vec![worker(0)]);
             world.log.clear();
-            world.event(loss.clone());
+            world.deliver(loss.clone());
         }
     }
-    // Answers under way: when, to whom, and whether it is the list.
-    let mut answers: BinaryHeap<std::cmp::Reverse<(Time, usize, bool)>> = BinaryHeap::new();
-    let (mut free, mut calls) = (START, 0);
-    let (mut watching, mut seen) = (vec![false; worlds.len()], vec![0; worlds.len()]);
+    // Pending answers: time, dispatcher, and whether the answer is the list.
+    let mut pending_answers: BinaryHeap<std::cmp::Reverse<(Time, usize, bool)>> = BinaryHeap::new();
+    let (mut discovery_free_at, mut calls) = (START, 0);
+    let (mut has_watch, mut processed) = (vec![false; worlds.len()], vec![0; worlds.len()]);
     let mut now = START;
     while now < START + run {
         now = now + ms(1);
         for (d, world) in worlds.iter_mut().enumerate() {
-            world.pass(ms(1));
-            let called = world.log[seen[d]..].iter().filter(|(_, a)| *a == Action::Subscribe).count();
-            seen[d] = world.log.len();
-            for _ in 0..called {
+            world.advance(ms(1));
+            let new_calls = world.log[processed[d]..].iter().filter(|(_, a)| *a == Action::Subscribe).count();
+            processed[d] = world.log.len();
+            for _ in 0..new_calls {
                 calls += 1;
-                let done = free.max(now) + pace;
-                free = done;
-                let in_time = done <= now + ms(2000);
-                answers.push(std::cmp::Reverse((if in_time { done } else { now + ms(2000) }, d, in_time)));
+                let answered_at = discovery_free_at.max(now) + call_time;
+                discovery_free_at = answered_at;
+                let in_time = answered_at <= now + ms(2000);
+                pending_answers.push(std::cmp::Reverse((
+                    if in_time { answered_at } else { now + ms(2000) },
+                    d,
+                    in_time,
+                )));
             }
         }
-        while let Some(&std::cmp::Reverse((at, d, listed))) = answers.peek()
+        while let Some(&std::cmp::Reverse((at, d, list_received))) = pending_answers.peek()
             && at <= now
         {
-            answers.pop();
-            watching[d] |= listed;
-            worlds[d].event(if listed {
+            pending_answers.pop();
+            has_watch[d] |= list_received;
+            worlds[d].deliver(if list_received {
                 Event::List(ListKind::Delta, Vec::new())
             } else {
                 Event::ListFailed
             });
         }
     }
-    (watching.iter().filter(|w| **w).count(), calls)
+    (has_watch.iter().filter(|w| **w).count(), calls)
 }
 
-/// Guards against a fleet that keeps discovery's line full of calls which end unanswered.
+/// Guards against a fleet that keeps discovery's queue full of calls that time out unanswered.
 #[test]
 fn a_fleet_that_starts_together_gets_its_list() {
-    let (listed, calls) = listed_after(100, ms(50), ms(20_000), None);
-    assert_eq!(listed, 100, "all watch after four times what their calls take");
+    let (list_received, calls) = listed_after(100, ms(50), ms(20_000), None);
+    assert_eq!(list_received, 100, "all have a watch after four times the duration of their calls");
     assert!(calls <= 300, "{calls} calls for 100 watches");
-    // A small site is not made to wait.
+    // A small fleet does not wait.
     assert_eq!(listed_after(5, ms(50), ms(500), None), (5, 5));
 }
 
-/// The whole fleet's calls fit into the time for which a lost list holds, and nobody calls twice for them.
+/// All calls of a fleet, one by each dispatcher, fit into the time for which a list stays valid after a loss.
 #[test]
-fn a_fleet_that_loses_its_watches_together_is_back_while_the_list_holds() {
+fn a_fleet_that_loses_its_watches_together_recovers_while_the_list_is_valid() {
     for loss in [Event::ListFailed, Event::ListSilent] {
         let settings = settings();
-        let holds = if loss == Event::ListSilent {
+        let validity = if loss == Event::ListSilent {
             settings.validity_after_silence
         } else {
             settings.validity_after_loss
         };
-        let (listed, calls) = listed_after(300, ms(8), holds, Some(&loss));
-        assert_eq!((listed, calls), (300, 300), "after {loss:?}");
+        let (list_received, calls) = listed_after(300, ms(8), validity, Some(&loss));
+        assert_eq!((list_received, calls), (300, 300), "after {loss:?}");
     }
 }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,85 +1,96 @@
-//! Requests that fail, or end their worker: what is the request's own fault, and where it goes next.
-//! It owns one small test for each such symptom; it must never wait for real time or draw without a seed.
+//! Requests that fail or crash their worker: which failures are the request's own fault, and where a request
+//! is sent next.
 
 mod common;
 
 use common::*;
 use sablerun::*;
 
-/// An answer that comes back full proves that nothing ran: even unsafe work goes elsewhere.
+/// A worker that answers full has not run the attempt: even an unsafe request is sent to another one.
 #[test]
-fn work_turned_away_goes_to_another_worker() {
+fn a_request_rejected_as_full_goes_to_another_worker() {
     let mut world = two_workers(8);
     world.arrive(0, 1);
     let first = world.requests[&RequestId(0)].attempts[0].0;
     world.end(0, 0, Outcome::Full);
-    let known = &world.requests[&RequestId(0)];
-    assert_eq!(known.attempts.len(), 2);
-    assert_ne!(known.attempts[1].0, first);
+    let tracked = &world.requests[&RequestId(0)];
+    assert_eq!(tracked.attempts.len(), 2);
+    assert_ne!(tracked.attempts[1].0, first);
 }
 
-/// Serves requests one by one: those that `bad` names fail at every worker, all others only at worker 1 if
-/// it is ill. The attempts per bad request, and the share of the good ones' attempts at worker 1.
-fn serve_bad(
+/// Serves requests one by one. Bad requests, for which `fails_everywhere` holds, fail at every worker; good
+/// ones fail only at worker 1, if `worker_1_fails`. Returns the attempts per bad request, and the share of
+/// the good ones' attempts at worker 1.
+fn serve_with_failures(
     world: &mut World,
     ids: std::ops::Range<u32>,
-    bad: impl Fn(u32) -> bool,
-    ill: bool,
+    fails_everywhere: impl Fn(u32) -> bool,
+    worker_1_fails: bool,
 ) -> (f64, f64) {
-    let (mut tries, mut bad_ones, mut there, mut good) = (0, 0, 0, 0);
+    let (mut bad_attempts, mut bad_requests, mut good_at_1, mut good_attempts) = (0, 0, 0, 0);
     for n in ids {
         world.arrive(n, 0);
-        world.pass(ms(100));
+        world.advance(ms(100));
         let mut attempt = 0;
         while let Some(a) = world.requests[&RequestId(n)].attempts.get(attempt as usize) {
-            let at_one = a.0 == WorkerId(1);
+            let at_worker_1 = a.0 == WorkerId(1);
             world.start(n, attempt);
-            world.pass(ms(20));
-            let fails = bad(n) || ill && at_one;
+            world.advance(ms(20));
+            let fails = fails_everywhere(n) || worker_1_fails && at_worker_1;
             world.end(n, attempt, if fails { Outcome::Error } else { Outcome::Ok });
             attempt += 1;
-            (there, good) = if bad(n) { (there, good) } else { (there + usize::from(at_one), good + 1) };
+            (good_at_1, good_attempts) = if fails_everywhere(n) {
+                (good_at_1, good_attempts)
+            } else {
+                (good_at_1 + usize::from(at_worker_1), good_attempts + 1)
+            };
         }
-        (tries, bad_ones) = if bad(n) { (tries + attempt, bad_ones + 1) } else { (tries, bad_ones) };
+        (bad_attempts, bad_requests) = if fails_everywhere(n) {
+            (bad_attempts + attempt, bad_requests + 1)
+        } else {
+            (bad_attempts, bad_requests)
+        };
     }
-    (f64::from(tries) / f64::from(bad_ones.max(1)), there as f64 / good as f64)
+    (f64::from(bad_attempts) / f64::from(bad_requests.max(1)), good_at_1 as f64 / good_attempts as f64)
 }
 
-/// Requests that fail anywhere are known by their second attempts: soon they get no further ones, and workers
-/// keep their share. A bad worker is still found while they come, and has its share back seconds after.
+/// Second attempts show that requests fail at every worker: soon such requests get no further attempts, and
+/// the workers keep their shares. A failing worker is still detected among them, and gets its share back
+/// seconds after it has recovered.
 #[test]
-fn bad_requests_are_not_held_against_workers_and_a_bad_worker_is_still_found() {
+fn bad_requests_do_not_count_against_workers_and_a_failing_worker_is_still_detected() {
     let mut world = two_workers(25);
-    let third = |n: u32| n.is_multiple_of(3);
-    serve_bad(&mut world, 0..60, third, false);
-    let (tries, share) = serve_bad(&mut world, 60..360, third, false);
-    assert!(tries < 1.7, "{tries} attempts for a request that fails anywhere");
+    let every_third = |n: u32| n.is_multiple_of(3);
+    serve_with_failures(&mut world, 0..60, every_third, false);
+    let (attempts_per_bad, share) = serve_with_failures(&mut world, 60..360, every_third, false);
+    assert!(attempts_per_bad < 1.7, "{attempts_per_bad} attempts for a request that fails everywhere");
     assert!((0.3..0.7).contains(&share), "{share} of the good ones at worker 1");
-    let (_, ill) = serve_bad(&mut world, 400..700, third, true);
-    assert!(ill < 0.3, "{ill} of the good ones at the bad worker");
-    world.pass(ms(20_000));
-    let (_, back) = serve_bad(&mut world, 700..900, |_| false, false);
-    assert!(back > 0.3, "{back} after it is well again");
+    let (_, share_while_failing) = serve_with_failures(&mut world, 400..700, every_third, true);
+    assert!(share_while_failing < 0.3, "{share_while_failing} of the good ones at the failing worker");
+    world.advance(ms(20_000));
+    let (_, recovered_share) = serve_with_failures(&mut world, 700..900, |_| false, false);
+    assert!(recovered_share > 0.3, "{recovered_share} after it has recovered");
 }
 
-/// A request whose worker breaks as soon as it starts gets no second worker; one broken long after does.
+/// A request whose connection breaks just after its start may have crashed the worker and gets no second one;
+/// if the connection breaks long after the start, the request may get one.
 #[test]
-fn a_request_that_downed_its_worker_gets_no_second_one() {
+fn a_request_that_may_have_crashed_its_worker_gets_no_second_one() {
     for (ran, attempts) in [(5, 1), (500, 2)] {
         let mut world = two_workers(26);
         world.arrive(0, 0);
         world.start(0, 0);
-        world.pass(ms(ran));
+        world.advance(ms(ran));
         world.end(0, 0, Outcome::Reset);
-        let again = world.requests[&RequestId(0)].attempts.len();
-        assert!(again <= attempts, "{again} attempts after {ran} ms");
-        assert!(world.requests[&RequestId(0)].settled || again == 2);
+        let attempt_count = world.requests[&RequestId(0)].attempts.len();
+        assert!(attempt_count <= attempts, "{attempt_count} attempts after {ran} ms");
+        assert!(world.requests[&RequestId(0)].finished || attempt_count == 2);
     }
 }
 
-/// A request that a worker failed goes to another one first.
+/// A request that failed at a worker goes to the other workers first.
 #[test]
-fn whoever_failed_a_request_is_asked_last() {
+fn a_worker_that_failed_a_request_is_tried_last() {
     let mut world = World::new(Settings { zone: None, ..settings() }, 3);
     world.list(ListKind::Saved, (0..3).map(worker).collect());
     for n in 0..30 {
@@ -88,72 +99,72 @@
             world.end(n, attempt, Outcome::Error);
         }
         world.end(n, 2, Outcome::Ok);
-        let mut asked: Vec<_> = world.requests[&RequestId(n)].attempts.iter().map(|a| a.0).collect();
-        asked.sort();
-        asked.dedup();
-        assert_eq!(asked.len(), world.requests[&RequestId(n)].attempts.len(), "request {n}");
-        world.pass(ms(100));
+        let mut tried_workers: Vec<_> = world.requests[&RequestId(n)].attempts.iter().map(|a| a.0).collect();
+        tried_workers.sort();
+        tried_workers.dedup();
+        assert_eq!(tried_workers.len(), world.requests[&RequestId(n)].attempts.len(), "request {n}");
+        world.advance(ms(100));
     }
 }
 
-/// A quarter of the answers is lost on their way: their jobs get a second copy while that may still be
-/// in time, and take no slots by belief any more, so that what comes later is sent at once.
+/// A quarter of the answers is lost. Their requests get a second attempt while that may still be in time, and
+/// the lost attempts stop counting as slots in use, so that later requests are sent at once.
 #[test]
-fn lost_answers_cost_neither_their_requests_nor_the_slots() {
+fn lost_answers_cost_neither_requests_nor_slots() {
     let mut world = World::new(Settings { zone: None, progress: Span(0), ..settings() }, 6);
     world.list(ListKind::Saved, vec![worker(0), worker(1)]);
     for n in 0..200 {
         world.arrive_hinted(n, 0, ms(40));
-        let first = world.open().into_iter().filter(|(id, attempt)| (*id, *attempt) == (n, 0));
+        let first = world.outstanding().into_iter().filter(|(id, attempt)| (*id, *attempt) == (n, 0));
         for (id, attempt) in first.collect::<Vec<_>>() {
             world.start(id, attempt);
         }
-        world.pass(ms(50));
-        for (id, attempt) in world.open() {
-            // A second copy is always heard of; of the first ones, three in four.
+        world.advance(ms(50));
+        for (id, attempt) in world.outstanding() {
+            // All second attempts are answered, and three of four first ones.
             if attempt > 0 || id % 4 != 1 {
                 world.start(id, attempt);
                 world.end(id, attempt, Outcome::Ok);
             }
         }
     }
-    let late = |n: &u32| world.requests[&RequestId(*n)].attempts.len();
-    let copied = (49..189).step_by(4).filter(|n| late(n) > 1).count();
-    let unsent = (50..200).filter(|n| late(n) == 0).count();
-    assert!(copied >= 5, "{copied} of 35 lost ones were copied");
+    let attempt_count = |n: &u32| world.requests[&RequestId(*n)].attempts.len();
+    let repeated = (49..189).step_by(4).filter(|n| attempt_count(n) > 1).count();
+    let unsent = (50..200).filter(|n| attempt_count(n) == 0).count();
+    assert!(repeated >= 5, "{repeated} of 35 lost ones were repeated");
     assert_eq!(unsent, 0);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// New settings allow fewer attempts: what is under way makes no more than that, and a class that they add
-/// is served. More allowed again later is for later requests.
+/// New settings with a lower limit of attempts bind open requests; a later higher limit applies to later
+/// requests only. A class that new settings add is served.
 #[test]
-fn new_settings_bind_requests_under_way_and_bring_classes() {
+fn new_settings_bind_open_requests_and_add_classes() {
     let mut world = two_workers(5);
-    let retuned = |world: &mut World, max_attempts, classes: usize| {
+    let change_settings = |world: &mut World, max_attempts, classes: usize| {
         let mut settings = Settings { max_attempts, ..world.settings.clone() };
         settings.classes.resize(classes, settings.classes[0].clone());
         world.settings = settings.clone();
-        world.event(Event::SettingsChanged(Box::new(settings)));
+        world.deliver(Event::SettingsChanged(Box::new(settings)));
     };
     let attempts = |world: &World, n| world.requests[&RequestId(n)].attempts.len();
     world.arrive(0, 0);
     world.end(0, 0, Outcome::Error);
     assert_eq!(attempts(&world, 0), 2, "four attempts are allowed");
-    retuned(&mut world, 2, 5);
-    retuned(&mut world, 4, 5);
+    change_settings(&mut world, 2, 5);
+    change_settings(&mut world, 4, 5);
     world.arrive(1, 4);
     world.end(0, 1, Outcome::Error);
-    assert_eq!(attempts(&world, 0), 2, "two were, while it was under way");
+    assert_eq!(attempts(&world, 0), 2, "two were allowed while it was open");
     for attempt in 0..2 {
         world.end(1, attempt, Outcome::Error);
     }
-    assert_eq!(attempts(&world, 1), 3, "the added class has its worker, and four attempts");
-    // Settings that leave classes off the end leave those as they were.
+    assert_eq!(attempts(&world, 1), 3, "the added class is served, with up to four attempts");
+    // Classes that new settings leave off the end keep their settings.
     let fewer = Settings { classes: world.settings.classes[..1].to_vec(), ..world.settings.clone() };
-    world.event(Event::SettingsChanged(Box::new(fewer)));
+    world.deliver(Event::SettingsChanged(Box::new(fewer)));
     world.arrive(2, 4);
     assert_eq!(attempts(&world, 2), 1);
-    world.pass(ms(8000));
-    assert_eq!(world.broken, [""; 0]);
+    world.advance(ms(8000));
+    assert_eq!(world.violations, [""; 0]);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The five rules as properties over generated event sequences, and what the module does on nonsense.
+//! The rules that the balancer must keep, as properties over generated event sequences that include invalid
+//! events; tests of the rule checker itself; and the validation of settings.
 
 mod common;
 
@@ -11,14 +12,14 @@
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(u32),
-    Pass(u64),
+    Advance(u64),
     Start(usize),
     Progress(usize, f64),
     End(usize, Outcome),
     List(u32, WorkerState, bool),
     FullList(u32),
-    Leave(usize),
-    Nonsense(u32),
+    ClientLeaves(usize),
+    InvalidEvents(u32),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -37,23 +38,23 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..4u32).prop_map(Step::Arrive),
-        6 => (1..400u64).prop_map(Step::Pass),
+        6 => (1..400u64).prop_map(Step::Advance),
         3 => any::<usize>().prop_map(Step::Start),
         1 => (any::<usize>(), 0.0..1.0).prop_map(|(n, level)| Step::Progress(n, level)),
         4 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
         1 => (0..6u32, prop::sample::select(vec![WorkerState::Ready, WorkerState::Draining, WorkerState::Gone]),
-            any::<bool>()).prop_map(|(n, s, fresh)| Step::List(n, s, fresh)),
+            any::<bool>()).prop_map(|(n, s, restarted)| Step::List(n, s, restarted)),
         1 => (0..6u32).prop_map(Step::FullList),
-        1 => any::<usize>().prop_map(Step::Leave),
-        1 => any::<u32>().prop_map(Step::Nonsense),
+        1 => any::<usize>().prop_map(Step::ClientLeaves),
+        1 => any::<u32>().prop_map(Step::InvalidEvents),
     ]
 }
 
-/// Settings that a sequence is played with: with `rationed`, further attempts have a budget, only draining
-/// binds, retries are marked and misses are weighed.
-fn drawn(parallel_attempts: bool, rationed: Option<(f64, f64)>) -> Settings {
+/// Returns the settings for a sequence. With `retry_budget` (floor and ratio), further attempts have a
+/// budget, only draining excludes workers, retries are marked and missed targets count.
+fn generated_settings(parallel_attempts: bool, retry_budget: Option<(f64, f64)>) -> Settings {
     let mut settings = Settings { parallel_attempts, ..settings() };
-    if let Some((floor, ratio)) = rationed {
+    if let Some((floor, ratio)) = retry_budget {
         settings.budget = Some(Budget { floor, ratio, window: ms(5000) });
         settings.only_draining_excludes = true;
         settings.marked_retries = true;
@@ -62,60 +63,64 @@
     settings
 }
 
-/// Plays a sequence to its end and returns the world.
-fn play(steps: &[Step], settings: Settings, seed: u64) -> World {
+/// Runs a sequence to its end and returns the world.
+fn run_steps(steps: &[Step], settings: Settings, seed: u64) -> World {
     let mut world = World::new(settings, seed);
     world.list(ListKind::Saved, (0..6).map(worker).collect());
     let mut next = 0;
     for step in steps {
-        let open = world.open();
-        let chosen = |n: usize| (!open.is_empty()).then(|| open[n % open.len()]);
+        let open = world.outstanding();
+        let pick_attempt = |n: usize| (!open.is_empty()).then(|| open[n % open.len()]);
         match *step {
             Step::Arrive(class) => {
                 world.arrive(next, class);
                 next += 1;
             }
-            Step::Pass(n) => world.pass(ms(n)),
+            Step::Advance(n) => world.advance(ms(n)),
             Step::Start(n) => {
-                if let Some((id, attempt)) = chosen(n) {
+                if let Some((id, attempt)) = pick_attempt(n) {
                     world.start(id, attempt);
                 }
             }
             Step::Progress(n, level) => {
-                if let Some((id, attempt)) = chosen(n) {
-                    world.event(Event::AttemptUpdate(RequestId(id), attempt, AttemptUpdate::Progress(level)));
+                if let Some((id, attempt)) = pick_attempt(n) {
+                    world.deliver(Event::AttemptUpdate(
+                        RequestId(id),
+                        attempt,
+                        AttemptUpdate::Progress(level),
+                    ));
                 }
             }
             Step::End(n, outcome) => {
-                if let Some((id, attempt)) = chosen(n) {
+                if let Some((id, attempt)) = pick_attempt(n) {
                     world.end(id, attempt, outcome);
                 }
             }
-            Step::List(n, state, fresh) => {
-                let up_since = fresh.then_some(world.now);
+            Step::List(n, state, restarted) => {
+                let up_since = restarted.then_some(world.now);
                 world.list(ListKind::Delta, vec![ListEntry { state, up_since, ..worker(n) }]);
             }
-            Step::FullList(left_out) => {
-                world.list(ListKind::Full, (0..6).filter(|n| *n != left_out).map(worker).collect());
+            Step::FullList(omitted) => {
+                world.list(ListKind::Full, (0..6).filter(|n| *n != omitted).map(worker).collect());
             }
-            Step::Leave(n) => {
+            Step::ClientLeaves(n) => {
                 let open: Vec<_> =
-                    world.requests.iter().filter(|(_, k)| !k.settled).map(|(id, _)| *id).collect();
+                    world.requests.iter().filter(|(_, k)| !k.finished).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[n % open.len()];
-                    world.requests.get_mut(&id).expect("open").settled = true;
-                    world.event(Event::RequestClosed(id));
+                    world.requests.get_mut(&id).expect("open").finished = true;
+                    world.deliver(Event::RequestClosed(id));
                 }
             }
-            Step::Nonsense(n) => nonsense(&mut world, n),
+            Step::InvalidEvents(n) => deliver_invalid(&mut world, n),
         }
     }
-    world.pass(ms(6000));
+    world.advance(ms(6000));
     world
 }
 
-/// Events about what does not exist.
-fn nonsense(world: &mut World, n: u32) {
+/// Delivers events about requests, attempts, workers and timers that do not exist.
+fn deliver_invalid(world: &mut World, n: u32) {
     let request = RequestId(1_000_000 + n % 1000);
     let ended = Event::Ended { request, attempt: n, outcome: Outcome::Ok, closed: true, report: None };
     for event in [
@@ -129,7 +134,7 @@
         Event::Timer(u64::MAX >> 1),
         Event::ListFailed,
     ] {
-        world.event(event);
+        world.deliver(event);
     }
 }
 
@@ -138,54 +143,55 @@
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let steps = prop::collection::vec(step(), 1..120);
-    let rationed = prop::option::of((0.0..4.0, 0.0..0.3));
+    let retry_budget = prop::option::of((0.0..4.0, 0.0..0.3));
     runner
-        .run(&(steps, any::<bool>(), rationed, any::<u64>()), |(steps, parallel, rationed, seed)| {
-            let world = play(&steps, drawn(parallel, rationed), seed);
-            prop_assert!(world.broken.is_empty(), "{:?}", world.broken);
-            let open: Vec<_> = world.requests.iter().filter(|(_, known)| !known.settled).collect();
+        .run(&(steps, any::<bool>(), retry_budget, any::<u64>()), |(steps, parallel, retry_budget, seed)| {
+            let world = run_steps(&steps, generated_settings(parallel, retry_budget), seed);
+            prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
+            let open: Vec<_> = world.requests.iter().filter(|(_, tracked)| !tracked.finished).collect();
             prop_assert!(open.is_empty(), "unanswered: {:?}", open);
-            let again = play(&steps, drawn(parallel, rationed), seed);
+            let again = run_steps(&steps, generated_settings(parallel, retry_budget), seed);
             prop_assert_eq!(&world.log, &again.log);
             Ok(())
         })
         .unwrap();
 }
 
-/// The checker itself must catch a breach of each rule that it watches.
+/// The checker must detect a violation of each rule that it checks.
 #[test]
-fn the_checker_catches_what_breaks_a_rule() {
-    let broken = |class: u32, break_it: &dyn Fn(&mut World)| {
+fn the_checker_detects_violations() {
+    let violations = |class: u32, break_rule: &dyn Fn(&mut World)| {
         let mut world = World::new(settings(), 1);
         world.list(ListKind::Saved, vec![worker(0), worker(1)]);
         world.arrive(1, class);
-        assert!(world.broken.is_empty());
-        break_it(&mut world);
-        world.broken.join("; ")
+        assert!(world.violations.is_empty());
+        break_rule(&mut world);
+        world.violations.join("; ")
     };
-    let send = |world: &mut World, n: u32| world.action(&Action::Send(RequestId(1), WorkerId(n)));
-    assert!(broken(1, &|w| send(w, 1)).contains("twice"));
-    assert!(broken(2, &|w| (0..2).for_each(|n| send(w, n))).contains("twice"));
-    assert!(broken(1, &|w| w.action(&Action::Refuse(RequestId(1), Span(0)))).contains("may have run"));
+    let send = |world: &mut World, n: u32| world.apply(&Action::Send(RequestId(1), WorkerId(n)));
+    assert!(violations(1, &|w| send(w, 1)).contains("twice"));
+    assert!(violations(2, &|w| (0..2).for_each(|n| send(w, n))).contains("twice"));
+    assert!(violations(1, &|w| w.apply(&Action::Refuse(RequestId(1), Span(0)))).contains("may have run"));
     assert!(
-        broken(0, &|w| (0..2).for_each(|_| w.action(&Action::Fail(RequestId(1))))).contains("answered twice")
+        violations(0, &|w| (0..2).for_each(|_| w.apply(&Action::Fail(RequestId(1)))))
+            .contains("answered twice")
     );
     assert!(
-        broken(0, &|w| {
-            w.action(&Action::Fail(RequestId(1)));
+        violations(0, &|w| {
+            w.apply(&Action::Fail(RequestId(1)));
             send(w, 0);
         })
         .contains("after its answer")
     );
     assert!(
-        broken(0, &|w| {
+        violations(0, &|w| {
             w.timers.clear();
-            w.pass(ms(5100));
+            w.advance(ms(5100));
         })
         .contains("lost")
     );
     assert!(
-        broken(0, &|w| {
+        violations(0, &|w| {
             w.list(ListKind::Delta, vec![ListEntry { state: WorkerState::Draining, ..worker(0) }]);
             w.now = w.now + ms(1100);
             send(w, 0);
@@ -197,28 +203,29 @@
     world.list(ListKind::Saved, vec![worker(0), worker(1)]);
     world.arrive(1, 0);
     send(&mut world, 0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     send(&mut world, 1);
-    assert!(world.broken.join("; ").contains("beyond the budget"));
+    assert!(world.violations.join("; ").contains("beyond the budget"));
     world.list(ListKind::Delta, vec![ListEntry { state: WorkerState::Draining, ..worker(0) }]);
     world.list(ListKind::Full, vec![worker(0), worker(1)]);
     world.now = world.now + ms(1100);
     send(&mut world, 0);
-    assert!(world.broken.join("; ").contains("after its drain"), "a drain holds until a later start");
+    assert!(world.violations.join("; ").contains("after its drain"), "a drain counts until a later start");
 }
 
-/// One dispatcher keeps its part of a cold worker's budget, whatever arrives. The budget for a window
-/// is multiple x capacity x window; work is counted in jobs of one mean length on a warm slot.
+/// One dispatcher keeps its part of a cold worker's budget under any load, and so cannot overload the worker.
+/// The budget of a window is multiple x capacity x window, counted in jobs of mean running time on a warm
+/// slot.
 #[test]
-fn a_cold_worker_is_not_pushed_over() {
+fn a_cold_worker_is_not_overloaded() {
     let mut world = World::new(Settings { cold_from: 0.12, fall_after: ms(2000), ..settings() }, 3);
-    let fresh = ListEntry { up_since: Some(START), ..worker(0) };
-    world.list(ListKind::Saved, vec![fresh]);
-    // Four slots, jobs of 50 ms, five slots' worth of arrivals.
+    let cold_entry = ListEntry { up_since: Some(START), ..worker(0) };
+    world.list(ListKind::Saved, vec![cold_entry]);
+    // Four slots, jobs of 50 ms, and arrivals that would fill five slots.
     let (mut sent, mut running) = (0, Vec::new());
     for n in 0..2000 {
         world.arrive(n, 0);
-        world.pass(ms(10));
+        world.advance(ms(10));
         while let Some(&(id, _)) = running.first().filter(|(_, end)| *end <= world.now) {
             running.remove(0);
             world.end(id, 0, Outcome::Ok);
@@ -231,70 +238,70 @@
             running.push((id.0, world.now + ms(50)));
         }
     }
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let sends = &world.cold_sends[&WorkerId(0)];
-    assert!(sends.len() > 10, "a cold worker must get some work to grow warm on");
+    assert!(sends.len() > 10, "a cold worker must get some requests to warm up");
     let (multiple, window) = (world.settings.fall_multiple, world.settings.fall_after);
     for (n, &first) in sends.iter().enumerate() {
         let age = (first - START).secs();
-        let warmth = 0.12 + 0.88 * age / world.settings.warm_after.secs();
+        let warm_up_fraction = 0.12 + 0.88 * age / world.settings.warm_after.secs();
         // Jobs of 50 ms on four slots, shared by two dispatchers.
-        let budget = multiple * warmth * 4.0 * window.secs() / 0.05 / 2.0;
+        let budget = multiple * warm_up_fraction * 4.0 * window.secs() / 0.05 / 2.0;
         let within = sends[n..].iter().take_while(|t| **t <= first + window).count();
         assert!((within as f64) < budget, "{within} sends in a window from {age} s, budget {budget}");
     }
 }
 
 #[test]
-fn senseless_settings_name_the_setting() {
-    let good = settings();
+fn errors_name_the_invalid_setting() {
+    let valid = settings();
     let mut cases: Vec<(Settings, &str)> = vec![
-        (Settings { dispatchers: 0, ..good.clone() }, "dispatchers"),
-        (Settings { number: 2, ..good.clone() }, "number"),
-        (Settings { classes: vec![], ..good.clone() }, "classes"),
+        (Settings { dispatchers: 0, ..valid.clone() }, "dispatchers"),
+        (Settings { number: 2, ..valid.clone() }, "number"),
+        (Settings { classes: vec![], ..valid.clone() }, "classes"),
         (
-            Settings { prices: Prices { handshake: -0.1, ..Prices::default() }, ..good.clone() },
+            Settings { prices: Prices { handshake: -0.1, ..Prices::default() }, ..valid.clone() },
             "prices.handshake",
         ),
         (
-            Settings { prices: Prices { cross_zone: f64::NAN, ..Prices::default() }, ..good.clone() },
+            Settings { prices: Prices { cross_zone: f64::NAN, ..Prices::default() }, ..valid.clone() },
             "prices.cross_zone",
         ),
-        (Settings { max_attempts: 0, ..good.clone() }, "max_attempts"),
-        (Settings { tick: Span(0), ..good.clone() }, "tick"),
-        (Settings { cold_from: 0.0, ..good.clone() }, "cold_from"),
-        (Settings { cold_from: f64::NAN, ..good.clone() }, "cold_from"),
-        (Settings { fall_multiple: -1.0, ..good.clone() }, "fall_multiple"),
-        (Settings { over_share_worth: 2.0, ..good.clone() }, "over_share_worth"),
-        (Settings { tail: Tail { weight: -0.1, tolerated: 0.0 }, ..good.clone() }, "tail.weight"),
-        (Settings { tail: Tail { weight: 0.1, tolerated: f64::NAN }, ..good.clone() }, "tail.tolerated"),
+        (Settings { max_attempts: 0, ..valid.clone() }, "max_attempts"),
+        (Settings { tick: Span(0), ..valid.clone() }, "tick"),
+        (Settings { cold_from: 0.0, ..valid.clone() }, "cold_from"),
+        (Settings { cold_from: f64::NAN, ..valid.clone() }, "cold_from"),
+        (Settings { fall_multiple: -1.0, ..valid.clone() }, "fall_multiple"),
+        (Settings { over_share_worth: 2.0, ..valid.clone() }, "over_share_worth"),
+        (Settings { tail: Tail { weight: -0.1, tolerated: 0.0 }, ..valid.clone() }, "tail.weight"),
+        (Settings { tail: Tail { weight: 0.1, tolerated: f64::NAN }, ..valid.clone() }, "tail.tolerated"),
     ];
-    let fine = Budget { floor: 3.0, ratio: 0.1, window: ms(5000) };
+    let valid_budget = Budget { floor: 3.0, ratio: 0.1, window: ms(5000) };
     for (budget, name) in [
-        (Budget { floor: -1.0, ..fine }, "budget.floor"),
-        (Budget { floor: f64::INFINITY, ..fine }, "budget.floor"),
-        (Budget { ratio: 1.1, ..fine }, "budget.ratio"),
-        (Budget { ratio: f64::NAN, ..fine }, "budget.ratio"),
-        (Budget { window: Span(0), ..fine }, "budget.window"),
+        (Budget { floor: -1.0, ..valid_budget }, "budget.floor"),
+        (Budget { floor: f64::INFINITY, ..valid_budget }, "budget.floor"),
+        (Budget { ratio: 1.1, ..valid_budget }, "budget.ratio"),
+        (Budget { ratio: f64::NAN, ..valid_budget }, "budget.ratio"),
+        (Budget { window: Span(0), ..valid_budget }, "budget.window"),
     ] {
-        cases.push((Settings { budget: Some(budget), ..good.clone() }, name));
+        cases.push((Settings { budget: Some(budget), ..valid.clone() }, name));
     }
     for (name, prices) in [
         ("prices.waste", Prices { waste: f64::NAN, ..Prices::default() }),
         ("prices.probe", Prices { probe: -0.1, ..Prices::default() }),
         ("prices.late_fail", Prices { late_fail: f64::INFINITY, ..Prices::default() }),
     ] {
-        cases.push((Settings { prices, ..good.clone() }, name));
+        cases.push((Settings { prices, ..valid.clone() }, name));
     }
-    let mut worthless = good.clone();
-    worthless.classes[0].worth = 0.0;
-    cases.push((worthless, "classes.worth"));
-    let mut endless = good.clone();
-    endless.tenants = vec![Tenant { quota_per_s: f64::INFINITY }];
-    cases.push((endless, "tenants.quota_per_s"));
+    let mut zero_worth = valid.clone();
+    zero_worth.classes[0].worth = 0.0;
+    cases.push((zero_worth, "classes.worth"));
+    let mut infinite_quota = valid.clone();
+    infinite_quota.tenants = vec![Tenant { quota_per_s: f64::INFINITY }];
+    cases.push((infinite_quota, "tenants.quota_per_s"));
     for (settings, name) in cases {
         let error = Balancer::new(settings, 0, START).err();
         assert_eq!(error, Some(SettingsError(name)));
     }
-    assert!(Balancer::new(good, 0, START).is_ok());
+    assert!(Balancer::new(valid, 0, START).is_ok());
 }
