--- a/node/benches/slopes/fit.rs
+++ b/node/benches/slopes/fit.rs
@@ -1,6 +1,6 @@
-//! A straight line through points by least squares. It owns that reckoning alone.
+//! Fits a straight line to points by least squares.
 
-/// `y = start + slope * x`, the share of the spread that it explains, and the largest distance of a point.
+/// The line `y = start + slope * x`, the share of the variance that it explains, and the largest residual.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
     pub start: f64,
@@ -10,7 +10,7 @@
 }
 
 impl Fit {
-    /// The line through points of two or more different `x`.
+    /// Fits the line to points with at least two different `x`.
     pub fn of(points: &[(f64, f64)]) -> Fit {
         let n = points.len() as f64;
         let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
@@ -21,11 +21,11 @@
         let yy = spread(|p| p.1, |p| p.1, (y, y));
         let slope = xy / xx;
         let start = y - slope * x;
-        let off = |p: &(f64, f64)| p.1 - start - slope * p.0;
-        let left: f64 = points.iter().map(|p| off(p).powi(2)).sum();
-        let residual = points.iter().map(|p| off(p).abs()).fold(0.0, f64::max);
-        // All alike: there is no spread to explain.
-        let r2 = if yy > 0.0 { 1.0 - left / yy } else { 1.0 };
+        let distance = |p: &(f64, f64)| p.1 - start - slope * p.0;
+        let residual_sum: f64 = points.iter().map(|p| distance(p).powi(2)).sum();
+        let residual = points.iter().map(|p| distance(p).abs()).fold(0.0, f64::max);
+        // All `y` are equal: there is no variance to explain.
+        let r2 = if yy > 0.0 { 1.0 - residual_sum / yy } else { 1.0 };
         Fit { start, slope, r2, residual }
     }
 }
--- a/node/benches/slopes/rows.rs
+++ b/node/benches/slopes/rows.rs
@@ -1,9 +1,9 @@
-//! The tables: their rows, how they are printed and written. It owns their form, not a figure in them.
+//! The rows of the result tables, and how tables are printed and written.
 
 use serde::Serialize;
 use std::path::Path;
 
-/// One kind of step at one point. Times in nanoseconds.
+/// One kind of step at one point of the sweep. Times are in nanoseconds.
 #[derive(Serialize)]
 pub struct Point {
     pub quantity: &'static str,
@@ -17,7 +17,7 @@
     pub max: u64,
 }
 
-/// What the state of a core takes and what it is asked to do, at one point.
+/// The memory of a core's state and the cost per request, at one point of the sweep.
 #[derive(Serialize)]
 pub struct State {
     pub quantity: &'static str,
@@ -30,7 +30,7 @@
     pub micros_per_request: f64,
 }
 
-/// A dispatcher without requests, in a second of its time.
+/// The cost of a dispatcher without requests, per second.
 #[derive(Serialize)]
 pub struct Idle {
     pub runners: usize,
@@ -42,7 +42,7 @@
     pub bytes: usize,
 }
 
-/// A straight line, `start + slope * value`, through one kind of figure of one quantity.
+/// A fitted line, `start + slope * value`, of one measured value over one quantity.
 #[derive(Serialize)]
 pub struct Slope {
     pub quantity: &'static str,
@@ -53,12 +53,12 @@
     pub residual: f64,
 }
 
-/// To four significant digits after the point at the most: what is measured is no more exact.
-pub fn rounded(figure: f64) -> f64 {
-    (figure * 1e4).round() / 1e4
+/// Rounds to four decimal places: the measurements are not more precise.
+pub fn rounded(value: f64) -> f64 {
+    (value * 1e4).round() / 1e4
 }
 
-/// Prints rows as a table, and writes them as CSV where there is a folder.
+/// Prints rows as a table, and writes them as CSV if a folder is given.
 pub fn table<T: Serialize>(folder: Option<&Path>, name: &str, rows: &[T]) -> Result<(), csv::Error> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     rows.iter().try_for_each(|row| writer.serialize(row))?;
--- a/node/benches/slopes/terms.rs
+++ b/node/benches/slopes/scenario.rs
@@ -1,27 +1,30 @@
-//! The terms of a made-up world: its size, the settings, its runners. It owns those figures alone.
+//! The simulated scenario: its size, the settings, and its runners.
 
 use sablerun as sr;
 use sablerun_node::core::ListedRunner;
 use sablerun_settings::{NameTable, Tables};
 
-/// Seconds that a request runs, in the mean.
-pub const WORK: f64 = 65.0;
-/// Slots of a runner that are taken, as long as this dispatcher has no more than that there: 13,000 on 680.
-pub const TAKEN: f64 = 19.0;
+/// The mean running time of a request, in seconds.
+pub const RUNNING_TIME_S: f64 = 65.0;
+/// Busy slots of a runner, unless this dispatcher alone has more requests there: 13,000 requests on 680
+/// runners.
+pub const BUSY_SLOTS: f64 = 19.0;
 const ZONES: usize = 5;
 /// Slots of each kind of runner.
 const SLOTS: [f64; 4] = [20.0, 22.0, 24.0, 20.0];
 
-/// How large a world is. `cold` runners, the first ones, have just started, and start anew before they are warm.
+/// The size of a scenario. The first `cold` runners have just started, and restart before their slow start
+/// ends.
 #[derive(Clone, Copy)]
 pub struct Shape {
     pub runners: usize,
-    pub out: usize,
+    pub outstanding: usize,
     pub tenants: usize,
     pub dispatchers: usize,
     pub cold: usize,
 }
 
+/// Returns the name tables of a scenario.
 pub fn tables(shape: Shape) -> Tables {
     let tenants: Vec<_> = (0..shape.tenants).map(|t| format!("team-{t}")).collect();
     let zones: Vec<_> = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
@@ -35,7 +38,7 @@
     }
 }
 
-/// Settings as a platform of this size would give them, after the site that the benches play.
+/// Returns the settings of a platform of this size, modelled on the site that the other benches simulate.
 pub fn settings(shape: Shape) -> sr::Settings {
     let class = |objective, worth| sr::Class {
         objective: sr::Span::from_secs(objective),
@@ -51,7 +54,7 @@
     sr::Settings {
         dispatchers: shape.dispatchers as u32,
         zone: Some(sr::ZoneId(0)),
-        classes: vec![class(WORK, 1.0), class(1.3, 4.0)],
+        classes: vec![class(RUNNING_TIME_S, 1.0), class(1.3, 4.0)],
         tenants: vec![sr::Tenant { quota_per_s }; shape.tenants],
         over_share_worth: 0.05,
         prices: sr::Prices { cross_zone: 0.03, handshake: 0.02, waste: 0.04, probe: 0.0018, late_fail: 0.07 },
@@ -72,6 +75,7 @@
     }
 }
 
+/// Returns the list entry of a runner.
 pub fn listed(runner: usize, up_since: Option<sr::Time>) -> ListedRunner {
     ListedRunner {
         name: name(runner),
@@ -84,11 +88,11 @@
     }
 }
 
-/// What a runner reports that has so many of this dispatcher's requests, and of all as many as `taken`.
-pub fn report(runner: usize, own: f64, taken: f64) -> sr::Report {
+/// Returns the report of a runner with `own` requests of this dispatcher and at least `busy_slots` in all.
+pub fn report(runner: usize, own: f64, busy_slots: f64) -> sr::Report {
     let slots = SLOTS[runner % 4];
-    let inflight = own.max(taken).min(slots);
-    let latency = (inflight > 0.0).then(|| sr::Span::from_secs(WORK));
+    let inflight = own.max(busy_slots).min(slots);
+    let latency = (inflight > 0.0).then(|| sr::Span::from_secs(RUNNING_TIME_S));
     sr::Report {
         inflight: Some(inflight),
         free_slots: Some(slots - inflight),
--- a/node/benches/slopes/times.rs
+++ b/node/benches/slopes/times.rs
@@ -1,4 +1,4 @@
-//! The times of steps by their kind. It owns how they are kept and what counts as their mean.
+//! The times of steps by kind, and their means.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 pub struct Times(BTreeMap<&'static str, Histogram<u64>>);
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(10_000_000_000, 3).expect("sound bounds")
+    Histogram::new_with_max(10_000_000_000, 3).expect("valid bounds")
 }
 
 impl Times {
@@ -20,22 +20,22 @@
         self.0.iter().map(|(kind, times)| (*kind, times))
     }
 
-    /// How many steps of a kind there were.
+    /// Returns the number of steps of a kind.
     pub fn count(&self, kind: &str) -> u64 {
         self.0.get(kind).map_or(0, Histogram::len)
     }
 
-    /// The time of all steps of a kind, by their mean.
-    pub fn spent(&self, kind: &str) -> f64 {
+    /// Returns the time of all steps of a kind: their number times their mean.
+    pub fn total_nanos(&self, kind: &str) -> f64 {
         self.0.get(kind).map_or(0.0, |times| mean(times) * times.len() as f64)
     }
 }
 
-/// The mean without the dearest in a thousand: on a shared machine those are other programs' turns.
+/// Returns the mean without the slowest step in a thousand: on a shared machine those were preempted.
 pub fn mean(times: &Histogram<u64>) -> f64 {
-    let most = times.value_at_quantile(0.999);
-    let kept = times.iter_recorded().filter(|step| step.value_iterated_to() <= most);
-    let (sum, count) = kept.fold((0.0, 0.0), |(sum, count), step| {
+    let limit = times.value_at_quantile(0.999);
+    let included = times.iter_recorded().filter(|step| step.value_iterated_to() <= limit);
+    let (sum, count) = included.fold((0.0, 0.0), |(sum, count), step| {
         let steps = step.count_at_value() as f64;
         (sum + step.value_iterated_to() as f64 * steps, count + steps)
     });
