--- a/tests/list_validity.rs
+++ b/tests/list_validity.rs
@@ -180,7 +180,7 @@
 #[test]
 fn a_list_from_before_the_start_sends_nothing() {
     for (fleet_size, seed) in [(1, 1), (300, 2)] {
-        for pending in [None, Some(Event::ListFailed), Some(Event::ListSilent)] {
+        for failure in [None, Some(Event::ListFailed), Some(Event::ListSilent)] {
             let settings =
                 Settings { discovery: Discovery::OnRequest, dispatchers: fleet_size, ..settings() };
             let mut world = World::new(settings, seed);
@@ -188,9 +188,9 @@
             for n in 0..90 {
                 world.arrive(n, 0);
                 serve(&mut world, ms(100));
-                pending.iter().for_each(|pending| world.deliver(pending.clone()));
+                failure.iter().for_each(|failure| world.deliver(failure.clone()));
             }
-            assert!(world.sends().is_empty(), "of {fleet_size}, {pending:?}: sent by an old list");
+            assert!(world.sends().is_empty(), "of {fleet_size}, {failure:?}: sent by an old list");
             assert!(subscriptions(&world) > 0, "of {fleet_size}: discovery is called");
             world.arrive(90, 0);
             world.list(ListKind::Delta, Vec::new());
