--- a/node/src/publisher/config.rs
+++ b/node/src/publisher/config.rs
@@ -1,24 +1,24 @@
-//! The publisher's file (deploy/digest.toml). It owns its form, defaults and errors.
+//! The publisher's configuration file (`deploy/digest.toml`): its format, defaults and errors.
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-/// What the file says.
+/// The contents of the file.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where followers come.
+    /// The address on which followers connect.
     pub listen: SocketAddr,
-    /// Where the list of runners is asked for.
+    /// The address that serves the runner list.
     pub discovery: SocketAddr,
-    /// Each runner is asked, and a frame goes out, once in this time.
+    /// Interval at which each runner is polled and a frame is sent, in milliseconds.
     #[serde(default = "second")]
     pub every_ms: u64,
-    /// What a follower is told a second, in bytes; names and the whole at its start come on top.
+    /// Bytes per second sent to a follower, not counting names and the full digest at the start.
     #[serde(default = "bytes")]
     pub bytes_per_s: usize,
-    /// The figures that are told, by the names under which runners report them.
+    /// The load fields that are published, by the names under which runners report them.
     #[serde(default = "fields")]
     pub fields: Vec<String>,
 }
@@ -40,17 +40,17 @@
     ///
     /// # Errors
     ///
-    /// Names the file and the key at fault.
+    /// Names the file and the invalid key.
     pub fn read(path: &Path) -> Result<Config, String> {
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
         text.and_then(|text| Config::parse(&text)).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The same from the file's text.
+    /// Parses the file's text.
     ///
     /// # Errors
     ///
-    /// Names the key at fault.
+    /// Names the invalid key.
     pub fn parse(text: &str) -> Result<Config, String> {
         let toml = toml::Deserializer::parse(text).map_err(|e| e.message().replace('\n', " "))?;
         let config: Config = serde_path_to_error::deserialize(toml)
