--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -52,9 +52,9 @@
     let mut next_arrivals: Vec<Time> = (0..fleet_size).map(|_| START + ms(rng.u64(0..200))).collect();
     let mut now = START;
     while now < fleet.start + ms(RUN_MS) {
-        now = now + ms(STEP);
+        now = now + ms(STEP_MS);
         for (d, next) in next_arrivals.iter_mut().enumerate() {
-            fleet.worlds[d].advance(ms(STEP));
+            fleet.worlds[d].advance(ms(STEP_MS));
             fleet.update_list(d, now);
             let rate = if now < fleet.start { capacity * WARM_WORKERS as f64 * 0.4 } else { demand };
             while *next <= now {
@@ -74,8 +74,8 @@
         }
         used += sends.iter().map(|send| send.1).sum::<f64>() / COLD_WORKERS as f64;
     }
-    let share = ms(STEP).secs() / ms(deployment.fall_after).secs();
-    let whole: f64 = (0..RUN_MS / STEP).map(|n| deployment.budget(ms(n * STEP)) * share).sum();
+    let window_share = ms(STEP_MS).secs() / ms(deployment.fall_after).secs();
+    let whole: f64 = (0..RUN_MS / STEP_MS).map(|n| deployment.budget(ms(n * STEP_MS)) * window_share).sum();
     (worst, used / whole)
 }
 
--- a/tests/common/cold_workers.rs
+++ b/tests/common/cold_workers.rs
@@ -6,15 +6,15 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 /// Step of the clock, in milliseconds.
-pub const STEP: u64 = 10;
+pub const STEP_MS: u64 = 10;
 /// The numbers of cold workers, which come first, and of warm ones.
 pub const COLD_WORKERS: usize = 2;
 pub const WARM_WORKERS: usize = 2;
 /// Jobs that may wait at a worker.
 const MAX_QUEUED: usize = 12;
 
-/// A deployment: slow start, slots, jobs (share and running time in seconds), and whether clients give hints
-/// and workers give reports.
+/// A deployment: slow start (times in milliseconds), slots, jobs (share and running time in seconds), and
+/// whether clients give hints and workers give reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub cold_from: f64,
@@ -66,6 +66,7 @@
 pub struct Case {
     pub deployment: Deployment,
     pub fleet_size: u32,
+    /// Whether a few dispatchers get most of the traffic.
     pub uneven: bool,
     /// Whether dispatchers learn of the cold workers one after another instead of all at once.
     pub staggered_lists: bool,
@@ -95,6 +96,7 @@
     /// The running time of each request on a warm worker, in seconds.
     running_times: Vec<f64>,
     models: Vec<WorkerModel>,
+    /// The end of each running job, and its worker.
     ends: BinaryHeap<Reverse<(Time, Job, usize)>>,
     /// For each cold worker: the time of each send and its running time as a multiple of the mean.
     pub sends: Vec<Vec<(Time, f64)>>,
@@ -128,16 +130,17 @@
     /// Delivers the list with the cold workers to dispatcher `d` when it is due, and may restart it later.
     pub fn update_list(&mut self, d: usize, now: Time) {
         let (case, delay) = (self.case, Span(ms(3000).0 * d as u64 / u64::from(self.case.fleet_size)));
-        let delay = if case.staggered_lists { Span(delay.0 / ms(STEP).0 * ms(STEP).0) } else { Span(0) };
+        let delay =
+            if case.staggered_lists { Span(delay.0 / ms(STEP_MS).0 * ms(STEP_MS).0) } else { Span(0) };
         let restarted = case.restarts && d < 5 && now == self.start + ms(4000) + delay;
         if restarted {
             (self.worlds[d], self.processed[d]) = (Fleet::world(&case, d as u32, now), 0);
         }
         if restarted || now == self.start + delay {
             let cold_entry = |n| ListEntry { up_since: Some(self.start), ..worker(n) };
-            let warm = (COLD_WORKERS..COLD_WORKERS + WARM_WORKERS).map(|n| worker(n as u32));
+            let warm_entries = (COLD_WORKERS..COLD_WORKERS + WARM_WORKERS).map(|n| worker(n as u32));
             self.worlds[d]
-                .list(ListKind::Full, (0..COLD_WORKERS as u32).map(cold_entry).chain(warm).collect());
+                .list(ListKind::Full, (0..COLD_WORKERS as u32).map(cold_entry).chain(warm_entries).collect());
         }
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,7 @@
 /// Lets a fleet start, or lose its watches, all at once. Returns how many dispatchers have a watch after
 /// `run`, and the number of calls made. Discovery handles one call at a time, in `call_time`; a call that has
 /// waited 2 s fails, but is still handled.
-fn listed_after(fleet_size: u32, call_time: Span, run: Span, loss: Option<&Event>) -> (usize, usize) {
+fn simulate_fleet(fleet_size: u32, call_time: Span, run: Span, loss: Option<&Event>) -> (usize, usize) {
     let settings =
         Settings { discovery: Discovery::OnRequest, dispatchers: fleet_size, probing: false, ..settings() };
     let mut worlds: Vec<World> = (0..fleet_size)
@@ -67,11 +67,11 @@
 /// Guards against a fleet that keeps discovery's queue full of calls that time out unanswered.
 #[test]
 fn a_fleet_that_starts_together_gets_its_list() {
-    let (list_received, calls) = listed_after(100, ms(50), ms(20_000), None);
-    assert_eq!(list_received, 100, "all have a watch after four times the duration of their calls");
+    let (with_watch, calls) = simulate_fleet(100, ms(50), ms(20_000), None);
+    assert_eq!(with_watch, 100, "all have a watch after four times the duration of their calls");
     assert!(calls <= 300, "{calls} calls for 100 watches");
     // A small fleet does not wait.
-    assert_eq!(listed_after(5, ms(50), ms(500), None), (5, 5));
+    assert_eq!(simulate_fleet(5, ms(50), ms(500), None), (5, 5));
 }
 
 /// All calls of a fleet, one by each dispatcher, fit into the time for which a list stays valid after a loss.
@@ -84,7 +84,7 @@
         } else {
             settings.validity_after_loss
         };
-        let (list_received, calls) = listed_after(300, ms(8), validity, Some(&loss));
-        assert_eq!((list_received, calls), (300, 300), "after {loss:?}");
+        let (with_watch, calls) = simulate_fleet(300, ms(8), validity, Some(&loss));
+        assert_eq!((with_watch, calls), (300, 300), "after {loss:?}");
     }
 }
