--- a/lab/src/chart.rs
+++ b/lab/src/chart.rs
@@ -8,7 +8,7 @@
 
 /// A kept result.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Kept {
+pub struct RunResult {
     /// The command that made it.
     pub command: String,
     /// The machine's size.
@@ -19,9 +19,9 @@
     pub figures: Figures,
 }
 
-impl Kept {
+impl RunResult {
     /// Notes what made these figures.
-    pub fn now(figures: Figures) -> Kept {
+    pub fn new(figures: Figures) -> RunResult {
         let git = std::process::Command::new("git").args(["describe", "--always", "--dirty"]).output();
         let revision = git.ok().filter(|out| out.status.success());
         let revision = revision.map(|out| String::from_utf8_lossy(&out.stdout).trim().to_owned());
@@ -31,7 +31,7 @@
         let own = std::env::args().next().unwrap_or_default();
         let name = Path::new(&own).file_name().map(|n| n.to_string_lossy().into_owned());
         let command = name.into_iter().chain(std::env::args().skip(1)).collect::<Vec<_>>().join(" ");
-        Kept {
+        RunResult {
             command,
             machine: format!("{cores} cores, {} GiB", kib.unwrap_or(0) >> 20),
             revision: revision.unwrap_or_else(|| "unknown".to_owned()),
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// Names the file and what is wrong with it.
-    pub fn read(folder: &Path) -> Result<Kept, String> {
+    pub fn read(folder: &Path) -> Result<RunResult, String> {
         let path = folder.join("result.json");
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
@@ -80,7 +80,7 @@
     }
 }
 
-fn draw(kept: &Kept, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(kept: &RunResult, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let lines = &kept.figures.latency;
     let most = lines.values().flatten().map(|point| point.1).fold(1.0, f64::max);
     let area = SVGBackend::new(path, (860, 480)).into_drawing_area();
--- a/lab/src/file.rs
+++ b/lab/src/file.rs
@@ -1,9 +1,9 @@
 //! An experiment's file of either kind, an installation's or a scale run's, and how it is played. It owns what
 //! commands need to know of both, and must never know what a kind consists of.
 
-use crate::chart::Kept;
+use crate::chart::RunResult;
 use crate::experiment::{Bound, Experiment};
-use crate::play::{Figures, play};
+use crate::play::{Figures, play_experiment};
 use crate::scale::plan::Plan;
 use crate::scale::report;
 use crate::scale::session::{RunOptions, run_session};
@@ -98,12 +98,12 @@
                 }
                 let mut experiment = experiment.clone();
                 experiment.seed = asked.seed.unwrap_or(experiment.seed);
-                play(&experiment, folder, &asked.switch_off, tick).await
+                play_experiment(&experiment, folder, &asked.switch_off, tick).await
             }
             File::Scale(plan) => {
                 // A long run keeps what it has, should a later point fail.
                 let keep = |figures: &Figures| match out {
-                    Some(out) => report::write(&Kept::now(figures.clone()), out),
+                    Some(out) => report::write(&RunResult::new(figures.clone()), out),
                     None => Ok(()),
                 };
                 run_session(plan, asked, folder, tick, keep).await
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -48,7 +48,7 @@
     /// If no address is free or its folder can't be made.
     pub fn plan(command: &Path, folder: &Path, number: usize) -> Result<Dispatcher, String> {
         let at = free_port().map_err(|e| e.to_string())?;
-        Dispatcher::at_address(command, folder, number, at, "info")
+        Dispatcher::with_address(command, folder, number, at, "info")
     }
 
     /// The same with an address that was chosen before, and what it shall log.
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// If its folder can't be made.
-    pub fn at_address(
+    pub fn with_address(
         command: &Path,
         folder: &Path,
         number: usize,
@@ -78,7 +78,7 @@
         let config = json!({"name": self.folder.file_name().and_then(|n| n.to_str()), "listen": self.at.to_string(),
             "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096}, "settings": settings});
-        self.launch(&config, operator).await
+        self.start_with_config(&config, operator).await
     }
 
     /// The same with the whole of its configuration.
@@ -86,8 +86,8 @@
     /// # Errors
     ///
     /// As above.
-    pub async fn launch(&self, config: &Value, operator: &str) -> Result<(), String> {
-        self.configure(config)?;
+    pub async fn start_with_config(&self, config: &Value, operator: &str) -> Result<(), String> {
+        self.write_config(config)?;
         self.write("operator.toml", &operator.replace("@FOLDER@", &self.folder.display().to_string()))?;
         self.spawn().await
     }
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// Names the file.
-    pub fn configure(&self, config: &Value) -> Result<(), String> {
+    pub fn write_config(&self, config: &Value) -> Result<(), String> {
         self.write("config.json", &config.to_string())
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Sends it a SIGHUP, at which it reads its configuration.
-    pub async fn hang_up(&self) {
+    pub async fn send_sighup(&self) {
         let id = self.id().await.and_then(|id| rustix::process::Pid::from_raw(id as i32));
         if let Some(id) = id {
             // One that has just ended is told of elsewhere.
@@ -123,7 +123,7 @@
     }
 
     /// How it ended, if it did without being stopped.
-    pub async fn ended(&self) -> Option<String> {
+    pub async fn unexpected_exit(&self) -> Option<String> {
         let status = self.child.lock().await.as_mut()?.try_wait().ok()??;
         Some(format!("{status}; see {}", self.folder.join("log").display()))
     }
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// If it does not come up again.
-    pub async fn kill(&self, back: Duration) -> Result<(), String> {
+    pub async fn kill_and_restart(&self, back: Duration) -> Result<(), String> {
         self.epoch.fetch_add(1, SeqCst);
         self.stop().await;
         tokio::time::sleep(back).await;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use sablerun_lab::census::Census;
-use sablerun_lab::chart::Kept;
+use sablerun_lab::chart::RunResult;
 use sablerun_lab::experiment::Bound;
 use sablerun_lab::file::File;
 use sablerun_lab::play::{Figures, Judged, judge};
@@ -166,7 +166,7 @@
 
 fn run(path: &Path, out: Option<&Path>, how: &How) -> Result<(), String> {
     let file = File::read(path)?;
-    let kept = Kept::now(file.play(&how.asked(false), out)?);
+    let kept = RunResult::new(file.play(&how.asked(false), out)?);
     if how.json {
         println!("{}", serde_json::to_string(&kept).map_err(|e| e.to_string())?);
     } else {
@@ -180,7 +180,7 @@
 }
 
 fn chart(folder: &Path) -> Result<(), String> {
-    let kept = Kept::read(folder)?;
+    let kept = RunResult::read(folder)?;
     if report::is_scale(&kept) { report::draw(&kept, folder) } else { kept.draw(folder) }
 }
 
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -46,7 +46,7 @@
 /// # Errors
 ///
 /// Says what could not be started.
-pub async fn play(
+pub async fn play_experiment(
     experiment: &Experiment,
     folder: &Path,
     switched_off: &[String],
@@ -58,7 +58,7 @@
     for phase in &experiment.phase {
         let told = |at: f64| tick(&phase.name, (before + at) / total);
         told(0.0);
-        let operator = without(&phase.operator, switched_off)?;
+        let operator = remove_sections(&phase.operator, switched_off)?;
         play_phase(experiment, phase, &operator, &command, &folder.join(&phase.name), told, &mut figures)
             .await
             .map_err(|e| format!("phase {}: {e}", phase.name))?;
@@ -72,7 +72,7 @@
 /// # Errors
 ///
 /// Says why the file is none.
-pub fn without(operator: &str, sections: &[String]) -> Result<String, String> {
+pub fn remove_sections(operator: &str, sections: &[String]) -> Result<String, String> {
     let mut table: toml::Table = toml::from_str(operator).map_err(|e| format!("operator: {e}"))?;
     sections.iter().for_each(|section| {
         table.remove(section);
@@ -105,7 +105,7 @@
         let (dispatcher, kill) = (dispatchers[kill.dispatcher].clone(), kill.clone());
         kills.spawn(async move {
             tokio::time::sleep(Duration::from_secs_f64(kill.at_s)).await;
-            dispatcher.kill(Duration::from_secs_f64(kill.back_s)).await
+            dispatcher.kill_and_restart(Duration::from_secs_f64(kill.back_s)).await
         });
     }
     let clients = Clients::new(experiment, &dispatchers);
--- a/lab/src/scale/faults.rs
+++ b/lab/src/scale/faults.rs
@@ -149,7 +149,7 @@
         let back = Duration::from_secs_f64(self.fault.back_s);
         for number in real {
             let dispatcher = self.processes.real[*number].clone();
-            restarts.spawn(async move { dispatcher.kill(back).await });
+            restarts.spawn(async move { dispatcher.kill_and_restart(back).await });
         }
         self.processes.send_all(&Command::DispatchersDown { dispatchers: hollow.clone() }).await?;
         self.wait_for_end().await;
--- a/lab/src/scale/play.rs
+++ b/lab/src/scale/play.rs
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// Names the process that could not start, or that exited unexpectedly.
-pub async fn play(
+pub async fn play_point(
     plan: &Plan,
     point: &Point,
     options: &PlayOptions<'_>,
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -68,7 +68,7 @@
         let command = program_path()?;
         let real = layout.dispatchers.iter().enumerate().filter(|(_, dispatcher)| !dispatcher.hollow);
         let real = real.map(|(number, dispatcher)| {
-            Dispatcher::at_address(&command, &folder, number, dispatcher.listen, LOG_FILTER).map(Arc::new)
+            Dispatcher::with_address(&command, &folder, number, dispatcher.listen, LOG_FILTER).map(Arc::new)
         });
         let real = real.collect::<Result<Vec<_>, _>>()?;
         let limits = json!({"cores": 1.0, "memory_mb": point.memory_mb, "sockets": point.sockets});
@@ -86,7 +86,7 @@
         for (number, dispatcher) in self.real.iter().enumerate() {
             let (dispatcher, operator) = (dispatcher.clone(), self.operator.clone());
             let config = self.config(number, &self.layout.settings)?;
-            starts.spawn(async move { dispatcher.launch(&config, &operator).await });
+            starts.spawn(async move { dispatcher.start_with_config(&config, &operator).await });
         }
         while let Some(started) = starts.join_next().await {
             started.map_err(|e| e.to_string())??;
@@ -109,8 +109,8 @@
     /// Names the file that could not be written.
     pub async fn reload_real(&self, settings: &Value) -> Result<(), String> {
         for (number, dispatcher) in self.real.iter().enumerate() {
-            dispatcher.configure(&self.config(number, settings)?)?;
-            dispatcher.hang_up().await;
+            dispatcher.write_config(&self.config(number, settings)?)?;
+            dispatcher.send_sighup().await;
         }
         Ok(())
     }
@@ -151,7 +151,7 @@
             return Err(exit);
         }
         for (number, dispatcher) in self.real.iter().enumerate() {
-            if let Some(exit) = dispatcher.ended().await {
+            if let Some(exit) = dispatcher.unexpected_exit().await {
                 return Err(format!("the dispatcher n{number} exited unexpectedly ({exit})"));
             }
         }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -3,7 +3,7 @@
 
 use super::figures::Values;
 use super::fit::{axis_figure, by_point, fit, series_names};
-use crate::chart::Kept;
+use crate::chart::RunResult;
 use plotters::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -34,9 +34,9 @@
     ("changes.hollow.settings_last_ms", "change of settings to the last hollow one, ms"),
 ];
 
-/// Whether a kept result is that of a scale run.
-pub fn is_scale(kept: &Kept) -> bool {
-    kept.figures.values.keys().any(|name| name.ends_with(".size.runners"))
+/// Whether a result is that of a scale run.
+pub fn is_scale(result: &RunResult) -> bool {
+    result.figures.values.keys().any(|name| name.ends_with(".size.runners"))
 }
 
 /// Writes all tables and charts into a folder.
@@ -44,17 +44,17 @@
 /// # Errors
 ///
 /// Names the file that could not be written.
-pub fn write(kept: &Kept, folder: &Path) -> Result<(), String> {
-    let points = by_point(&kept.figures.values);
+pub fn write(result: &RunResult, folder: &Path) -> Result<(), String> {
+    let points = by_point(&result.figures.values);
     let in_file = |name: &str, e: &dyn std::fmt::Display| format!("{}: {e}", folder.join(name).display());
     std::fs::create_dir_all(folder).map_err(|e| in_file("", &e))?;
-    let json = serde_json::to_string_pretty(kept).map_err(|e| in_file("result.json", &e))?;
+    let json = serde_json::to_string_pretty(result).map_err(|e| in_file("result.json", &e))?;
     std::fs::write(folder.join("result.json"), json + "\n").map_err(|e| in_file("result.json", &e))?;
     points_csv(&points, &folder.join("points.csv")).map_err(|e| in_file("points.csv", &e))?;
     fits_csv(&points, &folder.join("fits.csv")).map_err(|e| in_file("fits.csv", &e))?;
-    std::fs::write(folder.join("README.md"), results_page(kept, &points))
+    std::fs::write(folder.join("README.md"), results_page(result, &points))
         .map_err(|e| in_file("README.md", &e))?;
-    draw(kept, folder)
+    draw(result, folder)
 }
 
 /// Draws the charts.
@@ -62,8 +62,8 @@
 /// # Errors
 ///
 /// Names the chart that could not be drawn.
-pub fn draw(kept: &Kept, folder: &Path) -> Result<(), String> {
-    let points = by_point(&kept.figures.values);
+pub fn draw(result: &RunResult, folder: &Path) -> Result<(), String> {
+    let points = by_point(&result.figures.values);
     for (figure, title) in SHOWN {
         if fit(&points, "all", figure).is_none() {
             continue;
@@ -119,14 +119,14 @@
     Ok(csv.flush()?)
 }
 
-fn results_page(kept: &Kept, points: &BTreeMap<String, Values>) -> String {
+fn results_page(result: &RunResult, points: &BTreeMap<String, Values>) -> String {
     let mut page = String::from("# The scale run\n\n");
     let _ = writeln!(
         page,
         "Made by `{}` at revision {} on a machine of {}. `points.csv` has every figure of every point, `fits.csv` \
          every straight line (least squares) with its R2 and largest residual. [docs/LAB.md](../../docs/LAB.md) \
          says what the figures are.\n",
-        kept.command, kept.revision, kept.machine
+        result.command, result.revision, result.machine
     );
     let sizes = ["size.runners", "size.dispatchers", "size.running"].map(|figure| (figure, figure));
     let _ = writeln!(page, "| point | runners | dispatchers | running |{}", column_numbers());
--- a/lab/src/scale/session.rs
+++ b/lab/src/scale/session.rs
@@ -4,10 +4,10 @@
 use super::figures::figures;
 use super::machine::{Machine, raise_descriptors};
 use super::plan::Plan;
-use super::play::{PlayOptions, play};
+use super::play::{PlayOptions, play_point};
 use super::point::Point;
 use super::record_reader::Records;
-use crate::play::{Figures, without};
+use crate::play::{Figures, remove_sections};
 use std::path::Path;
 
 /// The options of a command.
@@ -48,7 +48,7 @@
     points
         .iter()
         .try_for_each(|point| machine.check_capacity(plan, point, &point.quantities(plan, factor)))?;
-    let operator = without(&plan.control.operator, &options.switch_off)?;
+    let operator = remove_sections(&plan.control.operator, &options.switch_off)?;
     let seed = options.seed.unwrap_or(plan.seed);
     let length = |point: &Point| point.fill_s + point.rest_s + point.measured_s + 7.0;
     let total: f64 = points.iter().map(length).sum();
@@ -57,7 +57,7 @@
         let report_progress = |part: f64| tick(&point.name, (elapsed + part * length(point)) / total);
         let play_options = PlayOptions { factor, seed, folder, operator: &operator };
         let in_point = |e: String| format!("point {}: {e}", point.name);
-        let played = play(plan, point, &play_options, report_progress).await.map_err(in_point)?;
+        let played = play_point(plan, point, &play_options, report_progress).await.map_err(in_point)?;
         let mut records = Records::read(&played.layout.folder).map_err(in_point)?;
         let killed = played.faults.iter().flat_map(|fault| {
             fault.killed.iter().map(|dispatcher| (*dispatcher, fault.at_us, fault.back_us))
