--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -2,17 +2,17 @@
 //! open loop), each with the retries its habits allow. They own what they were answered; latency counts
 //! from the intended time.
 
-mod draw;
-mod seen;
+mod arrivals;
+mod counts;
 
-pub use seen::Seen;
+pub use counts::Seen;
 
+use crate::dispatcher_process::DispatcherProcess;
 use crate::experiment::Experiment;
-use crate::fleet::Dispatcher;
-use draw::Drawn;
+use arrivals::Drawn;
+use counts::{End, ended};
 use sablerun_stand_ins::http::Connection;
 use sablerun_stand_ins::installation::Class;
-use seen::{End, ended};
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -26,14 +26,14 @@
     retries: u32,
     wait: Duration,
     marks: bool,
-    dispatchers: Vec<Arc<Dispatcher>>,
+    dispatchers: Vec<Arc<DispatcherProcess>>,
     idle: Vec<Mutex<Vec<Connection>>>,
     seen: Mutex<Seen>,
 }
 
 impl Clients {
     /// Clients of these dispatchers.
-    pub fn new(experiment: &Experiment, dispatchers: &[Arc<Dispatcher>]) -> Arc<Clients> {
+    pub fn new(experiment: &Experiment, dispatchers: &[Arc<DispatcherProcess>]) -> Arc<Clients> {
         Arc::new(Clients {
             classes: experiment.class.clone(),
             retries: experiment.clients.retries,
--- a/lab/src/fleet.rs
+++ b/lab/src/dispatcher_process.rs
@@ -18,7 +18,7 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 /// One dispatcher.
-pub struct Dispatcher {
+pub struct DispatcherProcess {
     /// Where it listens.
     pub at: SocketAddr,
     /// Counts its kills: what was under way at one is not held against it.
@@ -40,15 +40,15 @@
     settings
 }
 
-impl Dispatcher {
+impl DispatcherProcess {
     /// Chooses an address and writes nothing yet.
     ///
     /// # Errors
     ///
     /// If no address is free or its folder can't be made.
-    pub fn plan(command: &Path, folder: &Path, number: usize) -> Result<Dispatcher, String> {
+    pub fn plan(command: &Path, folder: &Path, number: usize) -> Result<DispatcherProcess, String> {
         let at = free_port().map_err(|e| e.to_string())?;
-        Dispatcher::with_address(command, folder, number, at, "info")
+        DispatcherProcess::with_address(command, folder, number, at, "info")
     }
 
     /// The same with an address that was chosen before, and what it shall log.
@@ -62,11 +62,18 @@
         number: usize,
         at: SocketAddr,
         logged: &str,
-    ) -> Result<Dispatcher, String> {
+    ) -> Result<DispatcherProcess, String> {
         let folder = folder.join(format!("n{number}"));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let (command, logged) = (command.to_owned(), logged.to_owned());
-        Ok(Dispatcher { at, epoch: AtomicU64::new(0), command, folder, logged, child: Mutex::new(None) })
+        Ok(DispatcherProcess {
+            at,
+            epoch: AtomicU64::new(0),
+            command,
+            folder,
+            logged,
+            child: Mutex::new(None),
+        })
     }
 
     /// Writes its files and starts it.
@@ -110,7 +117,7 @@
 
     /// Sends it a SIGHUP, at which it reads its configuration.
     pub async fn send_sighup(&self) {
-        let id = self.id().await.and_then(|id| rustix::process::Pid::from_raw(id as i32));
+        let id = self.process_id().await.and_then(|id| rustix::process::Pid::from_raw(id as i32));
         if let Some(id) = id {
             // One that has just ended is told of elsewhere.
             let _ = rustix::process::kill_process(id, rustix::process::Signal::HUP);
@@ -118,7 +125,7 @@
     }
 
     /// Its process, while there is one.
-    pub async fn id(&self) -> Option<u32> {
+    pub async fn process_id(&self) -> Option<u32> {
         self.child.lock().await.as_ref()?.id()
     }
 
--- a/lab/src/file.rs
+++ b/lab/src/experiment_file.rs
@@ -1,9 +1,9 @@
 //! An experiment's file of either kind, an installation's or a scale run's, and how it is played. It owns what
 //! commands need to know of both, and must never know what a kind consists of.
 
-use crate::chart::RunResult;
 use crate::experiment::{Bound, Experiment};
 use crate::play::{Figures, play_experiment};
+use crate::run_result::RunResult;
 use crate::scale::plan::Plan;
 use crate::scale::report;
 use crate::scale::session::{RunOptions, run_session};
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -3,10 +3,10 @@
 //! it; it must never stand in for anything itself, nor leave the loopback addresses.
 
 pub mod census;
-pub mod chart;
 pub mod clients;
+pub mod dispatcher_process;
 pub mod experiment;
-pub mod file;
-pub mod fleet;
+pub mod experiment_file;
 pub mod play;
+pub mod run_result;
 pub mod scale;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -2,10 +2,10 @@
 
 use clap::{Parser, Subcommand};
 use sablerun_lab::census::Census;
-use sablerun_lab::chart::RunResult;
 use sablerun_lab::experiment::Bound;
-use sablerun_lab::file::File;
+use sablerun_lab::experiment_file::File;
 use sablerun_lab::play::{Figures, Judged, judge};
+use sablerun_lab::run_result::RunResult;
 use sablerun_lab::scale::plan::Compare;
 use sablerun_lab::scale::report;
 use sablerun_lab::scale::session::{RunOptions, parse_size};
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -3,8 +3,8 @@
 //! order of a run and the judging of bounds.
 
 use crate::clients::{Clients, Seen};
+use crate::dispatcher_process::{DispatcherProcess, settings};
 use crate::experiment::{Bound, Experiment, Phase};
-use crate::fleet::{Dispatcher, settings};
 use sablerun_stand_ins::discovery::Discovery;
 use sablerun_stand_ins::hall::Halls;
 use sablerun_stand_ins::program::program_path;
@@ -89,7 +89,7 @@
     tick: impl Fn(f64),
     figures: &mut Figures,
 ) -> Result<(), String> {
-    let plan = |number| Dispatcher::plan(command, folder, number).map(Arc::new);
+    let plan = |number| DispatcherProcess::plan(command, folder, number).map(Arc::new);
     let dispatchers: Vec<_> = (0..experiment.dispatchers).map(plan).collect::<Result<_, _>>()?;
     let addresses: Vec<_> = dispatchers.iter().map(|dispatcher| dispatcher.at).collect();
     let halls =
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -6,7 +6,7 @@
 use super::point::Point;
 use super::protocol::{Command, Counts, Layout, Setup};
 use super::publisher::{ADDRESS_PLACEHOLDER, Publisher};
-use crate::fleet::Dispatcher;
+use crate::dispatcher_process::DispatcherProcess;
 use sablerun_stand_ins::program::program_path;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
     /// The parts.
     pub parts: Vec<Arc<PartProcess>>,
     /// The real dispatchers, which are the first of the layout.
-    pub real: Vec<Arc<Dispatcher>>,
+    pub real: Vec<Arc<DispatcherProcess>>,
     /// The publisher of a load digest, if the operator's file names one.
     pub publisher: Option<Arc<Publisher>>,
     limits: Value,
@@ -68,7 +68,8 @@
         let command = program_path()?;
         let real = layout.dispatchers.iter().enumerate().filter(|(_, dispatcher)| !dispatcher.hollow);
         let real = real.map(|(number, dispatcher)| {
-            Dispatcher::with_address(&command, &folder, number, dispatcher.listen, LOG_FILTER).map(Arc::new)
+            DispatcherProcess::with_address(&command, &folder, number, dispatcher.listen, LOG_FILTER)
+                .map(Arc::new)
         });
         let real = real.collect::<Result<Vec<_>, _>>()?;
         let limits = json!({"cores": 1.0, "memory_mb": point.memory_mb, "sockets": point.sockets});
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -3,7 +3,7 @@
 
 use super::figures::Values;
 use super::fit::{axis_figure, by_point, fit, series_names};
-use crate::chart::RunResult;
+use crate::run_result::RunResult;
 use plotters::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/lab/src/scale/sample.rs
+++ b/lab/src/scale/sample.rs
@@ -48,7 +48,7 @@
         let mut ids: Vec<_> = processes.parts.iter().map(|part| (part.role.to_owned(), part.id)).collect();
         for (number, dispatcher) in processes.real.iter().enumerate() {
             // A dispatcher that is down has no process.
-            if let Some(id) = dispatcher.id().await {
+            if let Some(id) = dispatcher.process_id().await {
                 ids.push((format!("n{number}"), id));
             }
         }
