--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -1,181 +1,202 @@
-//! Clients: requests drawn ahead and sent when their time has come, whatever became of those before (an
-//! open loop), each with the retries its habits allow. They own what they were answered; latency counts
-//! from the intended time.
+//! Simulated clients: send the requests of a phase at their intended times, independent of earlier answers
+//! (an open loop), with retries and duplicates, and count the outcomes. Latency counts from the intended
+//! time.
 
 mod arrivals;
 mod counts;
 
-pub use counts::Seen;
+pub use counts::ClientCounts;
 
 use crate::dispatcher_process::DispatcherProcess;
 use crate::experiment::Experiment;
-use arrivals::Drawn;
-use counts::{End, ended};
+use arrivals::Arrival;
+use counts::{TryOutcome, outcome_of};
 use sablerun_stand_ins::http::Connection;
 use sablerun_stand_ins::installation::Class;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Beyond a try's deadline, what an answer may need to arrive on a busy machine.
-const SLACK: Duration = Duration::from_millis(250);
+/// The time beyond a try's deadline that an answer may need to arrive on a busy machine.
+const ANSWER_SLACK: Duration = Duration::from_millis(250);
 
 /// The clients of an installation.
 pub struct Clients {
     classes: Vec<Class>,
     retries: u32,
-    wait: Duration,
-    marks: bool,
+    retry_wait: Duration,
+    marks_retries: bool,
     dispatchers: Vec<Arc<DispatcherProcess>>,
+    /// Idle connections by dispatcher.
     idle: Vec<Mutex<Vec<Connection>>>,
-    seen: Mutex<Seen>,
+    counts: Mutex<ClientCounts>,
 }
 
 impl Clients {
-    /// Clients of these dispatchers.
+    /// Creates the clients of these dispatchers.
     pub fn new(experiment: &Experiment, dispatchers: &[Arc<DispatcherProcess>]) -> Arc<Clients> {
         Arc::new(Clients {
             classes: experiment.class.clone(),
             retries: experiment.clients.retries,
-            wait: Duration::from_millis(experiment.clients.wait_ms),
-            marks: experiment.clients.marks,
+            retry_wait: Duration::from_millis(experiment.clients.wait_ms),
+            marks_retries: experiment.clients.marks,
             dispatchers: dispatchers.to_vec(),
             idle: dispatchers.iter().map(|_| Mutex::default()).collect(),
-            seen: Mutex::new(Seen::new()),
+            counts: Mutex::new(ClientCounts::new()),
         })
     }
 
-    /// What they saw so far.
-    pub fn seen(&self) -> Seen {
-        self.seen.lock().expect("no holder panics").clone()
+    /// Returns the counts so far.
+    pub fn counts(&self) -> ClientCounts {
+        self.counts.lock().expect("no holder panics").clone()
     }
 
-    /// Sends all requests of a phase and waits for their ends; `tick` hears the time now and then.
-    pub async fn play(
+    /// Sends all requests of a phase and waits until all have ended; `tick` is called with the time since the
+    /// start of the phase, in seconds.
+    pub async fn send_requests(
         self: &Arc<Self>,
         experiment: &Experiment,
         seconds: f64,
         wander: f64,
         tick: impl Fn(f64),
     ) {
-        let drawn = self.draw(experiment, seconds, wander);
-        let begun = Instant::now();
+        let arrivals = self.draw_arrivals(experiment, seconds, wander);
+        let began = Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
-        for request in drawn {
-            let due = begun + request.at;
+        for arrival in arrivals {
+            let due = began + arrival.at;
             if due > Instant::now() {
                 tokio::time::sleep_until(due.into()).await;
-                tick(request.at.as_secs_f64());
+                tick(arrival.at.as_secs_f64());
             }
-            tasks.spawn(self.clone().request(request, due));
+            tasks.spawn(self.clone().send_request(arrival, due));
             while tasks.try_join_next().is_some() {}
         }
         while tasks.join_next().await.is_some() {}
     }
 
-    /// A request, from its first try to its last.
-    async fn request(self: Arc<Self>, drawn: Drawn, due: Instant) {
+    /// Sends a request with all its tries, and counts it.
+    async fn send_request(self: Arc<Self>, arrival: Arrival, due: Instant) {
         {
-            let mut seen = self.seen.lock().expect("no holder panics");
-            seen.requests += 1;
-            seen.keyed += u64::from(self.classes[drawn.class].group.is_some());
+            let mut counts = self.counts.lock().expect("no holder panics");
+            counts.requests += 1;
+            counts.keyed_requests += u64::from(self.classes[arrival.class].group.is_some());
         }
-        let drawn = Arc::new(drawn);
-        let main = self.clone().tries(drawn.clone(), due, false);
-        let results = match drawn.eager {
+        let arrival = Arc::new(arrival);
+        let main = self.clone().send_tries(arrival.clone(), due, false);
+        let results = match arrival.duplicate_after {
             None => vec![main.await],
-            Some(wait) => {
-                let eager = async {
-                    tokio::time::sleep(wait).await;
-                    self.clone().tries(drawn.clone(), Instant::now(), true).await
+            Some(delay) => {
+                let duplicate = async {
+                    tokio::time::sleep(delay).await;
+                    self.clone().send_tries(arrival.clone(), Instant::now(), true).await
                 };
-                let (main, eager) = tokio::join!(main, eager);
-                vec![main, eager]
+                let (main, duplicate) = tokio::join!(main, duplicate);
+                vec![main, duplicate]
             }
         };
         let mut served = results.into_iter().flatten();
         let Some((first, at)) = served.next() else { return };
-        let class = &self.classes[drawn.class];
+        let class = &self.classes[arrival.class];
         let took = at.duration_since(due);
-        let aim = class.objective_ms as f64 + 2.0 * drawn.work_ms;
-        let mut seen = self.seen.lock().expect("no holder panics");
-        seen.done += 1;
-        seen.in_time += u64::from(took.as_secs_f64() * 1e3 <= aim);
-        let _ = seen.latency.record(took.as_micros() as u64);
-        seen.unlike += u64::from(class.group.is_some() && served.any(|(other, _)| other != first));
+        let limit_ms = class.objective_ms as f64 + 2.0 * arrival.work_ms;
+        let mut counts = self.counts.lock().expect("no holder panics");
+        counts.served_requests += 1;
+        counts.in_time_requests += u64::from(took.as_secs_f64() * 1e3 <= limit_ms);
+        let _ = counts.latency_us.record(took.as_micros() as u64);
+        counts.unlike_results += u64::from(class.group.is_some() && served.any(|(other, _)| other != first));
     }
 
-    /// A try and its retries; the result that served, and when.
-    async fn tries(
+    /// Sends a try and its retries; returns the result and the time of the answer, if one was served.
+    async fn send_tries(
         self: Arc<Self>,
-        drawn: Arc<Drawn>,
+        arrival: Arc<Arrival>,
         due: Instant,
-        repeat: bool,
+        duplicate: bool,
     ) -> Option<(String, Instant)> {
         for number in 0..=self.retries {
-            let later = repeat || number > 0;
-            let to = if later && drawn.wanders { drawn.other } else { drawn.dispatcher };
-            let leaves = drawn.leaves && !later;
-            let begun = if number == 0 { due } else { Instant::now() };
-            let end = self.one(&drawn, to, later, leaves, begun).await;
+            let repeat = duplicate || number > 0;
+            let to = if repeat && arrival.changes_dispatcher {
+                arrival.other_dispatcher
+            } else {
+                arrival.dispatcher
+            };
+            let disconnects = arrival.disconnects && !repeat;
+            let began = if number == 0 { due } else { Instant::now() };
+            let outcome = self.send_try(&arrival, to, repeat, disconnects, began).await;
             {
-                let mut seen = self.seen.lock().expect("no holder panics");
-                seen.tries += 1;
-                let count = match &end {
-                    End::Served(_) => &mut seen.served,
-                    End::Refused(_) => &mut seen.refused,
-                    End::Failed => &mut seen.failed,
-                    End::Cut => &mut seen.cut,
-                    End::Left => &mut seen.left,
-                    End::Lost => &mut seen.lost,
-                    End::Odd(..) => &mut seen.odd,
+                let mut counts = self.counts.lock().expect("no holder panics");
+                counts.tries += 1;
+                let count = match &outcome {
+                    TryOutcome::Served(_) => &mut counts.served_tries,
+                    TryOutcome::Refused(_) => &mut counts.refused_tries,
+                    TryOutcome::Failed => &mut counts.failed_tries,
+                    TryOutcome::Cut => &mut counts.cut_tries,
+                    TryOutcome::Left => &mut counts.left_tries,
+                    TryOutcome::Lost => &mut counts.lost,
+                    TryOutcome::Odd(..) => &mut counts.odd_tries,
                 };
                 *count += 1;
-                if matches!(end, End::Odd(..) | End::Lost) && seen.remarks.len() < 5 {
-                    let took = begun.elapsed().as_millis();
-                    let class = &self.classes[drawn.class].name;
-                    seen.remarks
-                        .push(format!("{end:?}: try {number} of a {class} at dispatcher {to}, {took} ms"));
+                if matches!(outcome, TryOutcome::Odd(..) | TryOutcome::Lost) && counts.remarks.len() < 5 {
+                    let took = began.elapsed().as_millis();
+                    let class = &self.classes[arrival.class].name;
+                    counts.remarks.push(format!(
+                        "{outcome:?}: try {number} of a {class} at dispatcher {to}, {took} ms"
+                    ));
                 }
             }
-            match end {
-                End::Served(result) => return Some((result, Instant::now())),
-                End::Refused(Some(wait)) => tokio::time::sleep(wait.min(Duration::from_secs(2))).await,
-                // Nobody listens there for a while.
-                End::Cut => tokio::time::sleep(self.wait.max(Duration::from_millis(200))).await,
-                _ => tokio::time::sleep(self.wait).await,
+            match outcome {
+                TryOutcome::Served(result) => return Some((result, Instant::now())),
+                TryOutcome::Refused(Some(retry_after)) => {
+                    tokio::time::sleep(retry_after.min(Duration::from_secs(2))).await
+                }
+                // A killed dispatcher is restarted only after a while.
+                TryOutcome::Cut => tokio::time::sleep(self.retry_wait.max(Duration::from_millis(200))).await,
+                _ => tokio::time::sleep(self.retry_wait).await,
             }
         }
         None
     }
 
-    async fn one(&self, drawn: &Drawn, to: usize, later: bool, leaves: bool, begun: Instant) -> End {
-        let class = &self.classes[drawn.class];
+    /// Sends one try to the dispatcher `to` and returns its outcome.
+    async fn send_try(
+        &self,
+        arrival: &Arrival,
+        to: usize,
+        repeat: bool,
+        disconnects: bool,
+        began: Instant,
+    ) -> TryOutcome {
+        let class = &self.classes[arrival.class];
         let dispatcher = &self.dispatchers[to];
-        let epoch = dispatcher.epoch.load(SeqCst);
+        let epoch_before = dispatcher.epoch.load(SeqCst);
         let deadline = Duration::from_millis(class.deadline_ms);
-        let key =
-            if class.group.is_some() { format!("\r\nIdempotency-Key: {}", drawn.key) } else { String::new() };
-        let mark = if later && self.marks { "\r\nX-Retried: 1" } else { "" };
+        let key = if class.group.is_some() {
+            format!("\r\nIdempotency-Key: {}", arrival.key)
+        } else {
+            String::new()
+        };
+        let mark = if repeat && self.marks_retries { "\r\nX-Retried: 1" } else { "" };
         let head = format!(
             "POST /api?sid={} HTTP/1.1\r\nHost: t\r\nX-Request-ID: {:016x}\r\nX-Priority-Class: {}\r\n\
              X-Tenant-Id: {}\r\nX-Timeout: {}m\r\nX-Cost: {}{key}{mark}",
-            &drawn.key[..8],
+            &arrival.key[..8],
             fastrand::u64(..),
             class.name,
-            drawn.member,
+            arrival.tenant,
             class.deadline_ms,
-            (drawn.work_ms * 1e3) as u64
+            (arrival.work_ms * 1e3) as u64
         );
-        let body = format!("{{\"work_ms\":{}}}", drawn.work_ms);
+        let body = format!("{{\"work_ms\":{}}}", arrival.work_ms);
         let exchange = async {
-            // A connection that the dispatcher closed between two requests is replaced, once.
+            // The dispatcher may have closed an idle connection between two requests: if one fails, takes
+            // another. `Err(true)` means that the request was sent on a new connection, but not answered.
             loop {
                 let idle = self.idle[to].lock().expect("no holder panics").pop();
                 let reused = idle.is_some();
                 let mut connection = match idle {
                     Some(connection) => connection,
-                    None => match Connection::open(dispatcher.at, deadline).await {
+                    None => match Connection::open(dispatcher.address, deadline).await {
                         Ok(connection) => connection,
                         Err(_) => return Err(false),
                     },
@@ -190,18 +211,18 @@
                 }
             }
         };
-        let patience = if leaves { Duration::from_millis(20) } else { deadline + SLACK };
-        let patience = patience.saturating_sub(begun.elapsed().min(deadline));
-        let alive = |was: u64| was == dispatcher.epoch.load(SeqCst) && was.is_multiple_of(2);
-        match tokio::time::timeout(patience, exchange).await {
-            Err(_) if leaves => End::Left,
-            Err(_) | Ok(Err(true)) if alive(epoch) => End::Lost,
-            Err(_) | Ok(Err(_)) => End::Cut,
+        let timeout = if disconnects { Duration::from_millis(20) } else { deadline + ANSWER_SLACK };
+        let timeout = timeout.saturating_sub(began.elapsed().min(deadline));
+        let ran_since = |epoch: u64| epoch == dispatcher.epoch.load(SeqCst) && epoch.is_multiple_of(2);
+        match tokio::time::timeout(timeout, exchange).await {
+            Err(_) if disconnects => TryOutcome::Left,
+            Err(_) | Ok(Err(true)) if ran_since(epoch_before) => TryOutcome::Lost,
+            Err(_) | Ok(Err(_)) => TryOutcome::Cut,
             Ok(Ok((answer, connection))) => {
                 if answer.header("connection") != "close" {
                     self.idle[to].lock().expect("no holder panics").push(connection);
                 }
-                ended(answer)
+                outcome_of(answer)
             }
         }
     }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,112 +1,112 @@
-//! The form of an experiment: what `experiments/*.toml` may say, its defaults and its errors. It owns no
-//! run of one. Times end in their unit; shares are from 0 to 1.
+//! The file format of an experiment on one installation (`experiments/*.toml`), with defaults and validation.
+//! Names of times end in their unit; shares are from 0 to 1.
 
 use sablerun_stand_ins::installation::{Class, Clients, Faults, Hall};
 use serde::Deserialize;
 use std::path::Path;
 
-/// An experiment: one installation, played once for each phase, and the bounds its figures must keep.
+/// An experiment: an installation that is played once for each phase, and the bounds of its figures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it shows, in a sentence.
+    /// What it shows, in one sentence.
     pub about: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Real dispatcher processes.
+    /// The number of real dispatcher processes.
     pub dispatchers: usize,
     /// The halls.
     pub hall: Vec<Hall>,
-    /// The classes of request.
+    /// The request classes.
     pub class: Vec<Class>,
-    /// What clients do.
+    /// The behaviour of clients.
     #[serde(default)]
     pub clients: Clients,
-    /// What pick nodes do wrong.
+    /// The faults of pick nodes.
     #[serde(default)]
     pub faults: Faults,
-    /// Dispatchers killed and started again.
+    /// Kills of dispatchers, each with a restart.
     #[serde(default)]
     pub kill: Vec<Kill>,
-    /// What is played, one after the other.
+    /// The phases, played one after the other.
     pub phase: Vec<Phase>,
-    /// What must hold.
+    /// The bounds of figures.
     pub bound: Vec<Bound>,
-    /// The main figure, `phase.figure`.
+    /// The name of the main figure, `phase.figure`.
     pub main: String,
 }
 
-/// A dispatcher killed outright.
+/// A dispatcher that is killed with SIGKILL and restarted.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kill {
-    /// Which, from 0.
+    /// The number of the dispatcher, from 0.
     pub dispatcher: usize,
-    /// When, from the phase's start.
+    /// The time of the kill, from the start of the phase.
     pub at_s: f64,
-    /// How long until it is started again.
+    /// The time from the kill to the restart.
     pub back_s: f64,
 }
 
-/// The installation, played once.
+/// One run of the installation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// Its name, to which bounds refer.
+    /// The name, to which bounds refer.
     pub name: String,
-    /// How long requests arrive.
+    /// The time during which requests arrive.
     pub seconds: f64,
-    /// The dispatchers' operator's file; `@FOLDER@` stands for a folder of the dispatcher's own.
+    /// The operator's file of the dispatchers; `@FOLDER@` is replaced by each dispatcher's own folder.
     #[serde(default)]
     pub operator: String,
-    /// In place of the experiment's.
+    /// The share of repeats that go to another dispatcher, in place of the experiment's.
     pub wander: Option<f64>,
-    /// Whether dispatchers are killed.
+    /// Whether the kills of the experiment take place.
     #[serde(default)]
     pub kills: bool,
 }
 
-/// What a figure must keep.
+/// A bound of a figure.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// `phase.figure`.
+    /// The name of the figure, `phase.figure`.
     pub figure: String,
-    /// At least.
+    /// The minimum.
     pub min: Option<f64>,
-    /// At the most.
+    /// The maximum.
     pub max: Option<f64>,
 }
 
 impl Experiment {
-    /// Reads one.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// Names the file and the key at fault.
+    /// Names the file and the invalid key.
     pub fn read(path: &Path) -> Result<Experiment, String> {
-        let told = |e: String| format!("{}: {}", path.display(), e.replace('\n', " "));
-        let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
-        let toml = toml::Deserializer::parse(&text).map_err(|e| told(e.to_string()))?;
-        let read: Result<Experiment, _> = serde_path_to_error::deserialize(toml);
-        let experiment = read.map_err(|e| told(format!("{}: {}", e.path(), e.inner().message())))?;
-        experiment.check().map_err(told)?;
+        let in_file = |e: String| format!("{}: {}", path.display(), e.replace('\n', " "));
+        let text = std::fs::read_to_string(path).map_err(|e| in_file(e.to_string()))?;
+        let toml = toml::Deserializer::parse(&text).map_err(|e| in_file(e.to_string()))?;
+        let parsed: Result<Experiment, _> = serde_path_to_error::deserialize(toml);
+        let experiment = parsed.map_err(|e| in_file(format!("{}: {}", e.path(), e.inner().message())))?;
+        experiment.validate().map_err(in_file)?;
         Ok(experiment)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         if self.dispatchers == 0 || self.hall.is_empty() || self.class.is_empty() || self.phase.is_empty() {
             return Err("dispatchers, hall, class, phase: at least one of each".to_owned());
         }
         if let Some(kill) = self.kill.iter().find(|kill| kill.dispatcher >= self.dispatchers) {
-            return Err(format!("kill.dispatcher: there is no {}", kill.dispatcher));
+            return Err(format!("kill.dispatcher: there is no dispatcher {}", kill.dispatcher));
         }
         if self.bound.iter().any(|bound| bound.min.is_none() && bound.max.is_none()) {
             return Err("bound: neither min nor max".to_owned());
         }
-        let known = |figure: &str| self.phase.iter().any(|p| figure.starts_with(&format!("{}.", p.name)));
-        match self.bound.iter().map(|b| &b.figure).chain([&self.main]).find(|figure| !known(figure)) {
-            Some(figure) => Err(format!("{figure}: of no phase")),
+        let in_phase = |figure: &str| self.phase.iter().any(|p| figure.starts_with(&format!("{}.", p.name)));
+        match self.bound.iter().map(|b| &b.figure).chain([&self.main]).find(|figure| !in_phase(figure)) {
+            Some(figure) => Err(format!("{figure}: does not begin with the name of a phase")),
             None => Ok(()),
         }
     }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The command `sablerun-lab` and its parts: experiments played on the stand-ins with real dispatcher
-//! processes between them, their figures, charts and bounds. It owns the order of a run and what is made of
-//! it; it must never stand in for anything itself, nor leave the loopback addresses.
+//! The library of the command `sablerun-lab`: plays experiments with real dispatcher processes between
+//! simulated clients, runners and discovery, computes their figures, draws charts and checks bounds. Uses
+//! loopback addresses only.
 
 pub mod census;
 pub mod clients;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,10 +1,11 @@
-//! `sablerun-lab`: plays experiments on stand-ins, checks what they must show, and draws what was kept.
+//! The command `sablerun-lab`: plays experiments between stand-ins, checks their bounds and draws stored
+//! results.
 
 use clap::{Parser, Subcommand};
 use sablerun_lab::census::Census;
 use sablerun_lab::experiment::Bound;
-use sablerun_lab::experiment_file::File;
-use sablerun_lab::play::{Figures, Judged, judge};
+use sablerun_lab::experiment_file::ExperimentFile;
+use sablerun_lab::play::{BoundCheck, Figures, check_bounds};
 use sablerun_lab::run_result::RunResult;
 use sablerun_lab::scale::plan::Compare;
 use sablerun_lab::scale::report;
@@ -19,14 +20,14 @@
   sablerun-lab check idempotency
   sablerun-lab check scale --size 1/32
   sablerun-lab run experiments/scale.toml --point all-125
-  sablerun-lab check idempotency --switch-off keys     (must fail: the check can)
+  sablerun-lab check idempotency --switch-off keys     (must fail: proves that the check can)
   sablerun-lab run experiments/idempotency.toml --out results/idempotency
   sablerun-lab chart results/idempotency
   sablerun-lab count logs
 
-Exit codes: 0 all bounds hold, 1 one does not or it could not be played, 2 the command line makes no sense.";
+Exit codes: 0 all bounds hold, 1 a bound is broken or the run failed, 2 the command line is invalid.";
 
-/// Real dispatchers between stand-ins.
+/// Experiments with real dispatchers between stand-ins.
 #[derive(Parser)]
 #[command(name = "sablerun-lab", version, after_help = EXAMPLES)]
 struct Cli {
@@ -40,25 +41,25 @@
     Run {
         /// The experiment (TOML).
         file: PathBuf,
-        /// Keep the result in this folder.
+        /// Write the result to this folder.
         #[arg(long, value_name = "FOLDER")]
         out: Option<PathBuf>,
         #[command(flatten)]
-        how: How,
+        args: RunArgs,
     },
-    /// Play `experiments/NAME.toml` and hold its figures against its bounds.
+    /// Play `experiments/NAME.toml` and check its figures against its bounds.
     Check {
         /// The experiment's name.
         name: String,
         #[command(flatten)]
-        how: How,
+        args: RunArgs,
     },
-    /// Draw the result kept in a folder.
+    /// Draw the charts of a stored result.
     Chart {
-        /// The folder.
+        /// The folder with the result.
         folder: PathBuf,
     },
-    /// Count what a fleet did, by second and by runner, from its dispatchers' debug logs.
+    /// Count the events of a fleet by second and by runner, from its dispatchers' debug logs.
     Count {
         /// The folder, with one NAME.log for each dispatcher.
         folder: PathBuf,
@@ -66,7 +67,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Play a role of the scale run, as the run tells on standard input.
+    /// Play a role of a scale run, controlled through standard input.
     #[command(hide = true)]
     Part { role: Role },
 }
@@ -80,17 +81,17 @@
 }
 
 #[derive(clap::Args)]
-struct How {
-    /// Leave these sections out of the dispatchers' operator's files.
+struct RunArgs {
+    /// Leave this section out of the dispatchers' operator's files; may be repeated.
     #[arg(long, value_name = "SECTION")]
     switch_off: Vec<String>,
     /// Multiply the sizes of a scale run, e.g. 1/32.
     #[arg(long, value_parser = parse_size)]
     size: Option<f64>,
-    /// In place of the file's.
+    /// The seed, in place of the file's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Play only these points of a scale run.
+    /// Play only this point of a scale run; may be repeated.
     #[arg(long, value_name = "NAME")]
     point: Vec<String>,
     /// Print one JSON object.
@@ -98,36 +99,37 @@
     json: bool,
 }
 
-impl How {
-    fn asked(&self, check: bool) -> RunOptions {
+impl RunArgs {
+    fn run_options(&self, check: bool) -> RunOptions {
         let (points, switch_off) = (self.point.clone(), self.switch_off.clone());
         RunOptions { size: self.size, seed: self.seed, points, switch_off, check }
     }
 
-    /// Where only some points are played, the bounds that they have figures for.
-    fn bounds(&self, file: &File) -> Vec<Bound> {
-        let File::Scale(plan) = file else { return file.bounds().to_vec() };
+    /// Returns the bounds to check: of a scale run, those whose point or comparison is played.
+    fn bounds_to_check(&self, file: &ExperimentFile) -> Vec<Bound> {
+        let ExperimentFile::Scale(plan) = file else { return file.bounds().to_vec() };
         let played = |name: &str| self.point.is_empty() || self.point.iter().any(|point| point == name);
-        let both = |compare: &&Compare| played(&compare.real) && played(&compare.hollow);
+        let both_played = |compare: &&Compare| played(&compare.real) && played(&compare.hollow);
         let compared: Vec<_> =
-            plan.compare.iter().filter(both).map(|compare| compare.name.as_str()).collect();
-        let judged = |bound: &&Bound| {
-            let of = bound.figure.split('.').next().unwrap_or_default();
-            compared.contains(&of) || plan.points().iter().any(|point| point.name == of && played(of))
+            plan.compare.iter().filter(both_played).map(|compare| compare.name.as_str()).collect();
+        let has_figure = |bound: &&Bound| {
+            let prefix = bound.figure.split('.').next().unwrap_or_default();
+            compared.contains(&prefix)
+                || plan.points().iter().any(|point| point.name == prefix && played(prefix))
         };
-        plan.bound.iter().filter(judged).cloned().collect()
+        plan.bound.iter().filter(has_figure).cloned().collect()
     }
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Run { file, out, how } => run(&file, out.as_deref(), &how).map(|()| true),
-        Command::Check { name, how } => check(&name, &how),
-        Command::Chart { folder } => chart(&folder).map(|()| true),
+    let result = match Cli::parse().command {
+        Command::Run { file, out, args } => run(&file, out.as_deref(), &args).map(|()| true),
+        Command::Check { name, args } => check(&name, &args),
+        Command::Chart { folder } => draw(&folder).map(|()| true),
         Command::Count { folder, json } => count(&folder, json).map(|()| true),
-        Command::Part { role } => part(role).map(|()| true),
+        Command::Part { role } => run_part(role).map(|()| true),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
@@ -137,7 +139,7 @@
     }
 }
 
-fn part(role: Role) -> Result<(), String> {
+fn run_part(role: Role) -> Result<(), String> {
     match role {
         Role::Runners => part_runners::run(),
         Role::Discovery => part_discovery::run(),
@@ -155,7 +157,7 @@
     Ok(())
 }
 
-fn table(figures: &Figures) {
+fn print_figures(figures: &Figures) {
     for (name, value) in &figures.values {
         println!("{name:<40} {value:>12.3}");
     }
@@ -164,27 +166,27 @@
     }
 }
 
-fn run(path: &Path, out: Option<&Path>, how: &How) -> Result<(), String> {
-    let file = File::read(path)?;
-    let kept = RunResult::new(file.play(&how.asked(false), out)?);
-    if how.json {
-        println!("{}", serde_json::to_string(&kept).map_err(|e| e.to_string())?);
+fn run(path: &Path, out: Option<&Path>, args: &RunArgs) -> Result<(), String> {
+    let file = ExperimentFile::read(path)?;
+    let result = RunResult::new(file.play(&args.run_options(false), out)?);
+    if args.json {
+        println!("{}", serde_json::to_string(&result).map_err(|e| e.to_string())?);
     } else {
-        table(&kept.figures);
+        print_figures(&result.figures);
     }
-    if let (Some(folder), File::Installation(_)) = (out, &file) {
-        kept.write(folder)?;
-        kept.draw(folder)?;
+    if let (Some(folder), ExperimentFile::Installation(_)) = (out, &file) {
+        result.write(folder)?;
+        result.draw(folder)?;
     }
     Ok(())
 }
 
-fn chart(folder: &Path) -> Result<(), String> {
-    let kept = RunResult::read(folder)?;
-    if report::is_scale(&kept) { report::draw(&kept, folder) } else { kept.draw(folder) }
+fn draw(folder: &Path) -> Result<(), String> {
+    let result = RunResult::read(folder)?;
+    if report::is_scale(&result) { report::draw(&result, folder) } else { result.draw(folder) }
 }
 
-fn check(name: &str, how: &How) -> Result<bool, String> {
+fn check(name: &str, args: &RunArgs) -> Result<bool, String> {
     let file = Path::new("experiments").join(name).with_extension("toml");
     if !file.is_file() {
         let all = std::fs::read_dir("experiments").into_iter().flatten().flatten();
@@ -198,27 +200,32 @@
         };
         return Err(format!("{}: no such experiment; there are: {known}", file.display()));
     }
-    let experiment = File::read(&file)?;
-    let figures = experiment.play(&how.asked(true), None)?;
-    let judged = judge(&how.bounds(&experiment), &figures);
-    let holds = judged.iter().all(|bound| bound.holds);
-    let main = figures.values.get(experiment.main()).copied();
-    if how.json {
+    let experiment = ExperimentFile::read(&file)?;
+    let figures = experiment.play(&args.run_options(true), None)?;
+    let checks = check_bounds(&args.bounds_to_check(&experiment), &figures);
+    let holds = checks.iter().all(|bound| bound.holds);
+    let main = figures.values.get(experiment.main_figure()).copied();
+    if args.json {
         println!(
             "{}",
-            json!({"holds": holds, "bounds": judged, "main": {experiment.main(): main}, "figures": figures})
+            json!({"holds": holds, "bounds": checks, "main": {experiment.main_figure(): main},
+                "figures": figures})
         );
         return Ok(holds);
     }
     println!("{}\n", experiment.about());
-    table(&figures);
+    print_figures(&figures);
     println!();
-    judged.iter().for_each(line);
-    println!("\n{} {}", experiment.main(), main.map_or("missing".to_owned(), |value| value.to_string()));
+    checks.iter().for_each(print_bound);
+    println!(
+        "\n{} {}",
+        experiment.main_figure(),
+        main.map_or("missing".to_owned(), |value| value.to_string())
+    );
     Ok(holds)
 }
 
-fn line(bound: &Judged) {
+fn print_bound(bound: &BoundCheck) {
     let value = bound.value.map_or("missing".to_owned(), |value| format!("{value:.3}"));
     let least = bound.min.map_or(String::new(), |min| format!(" at least {min}"));
     let most = bound.max.map_or(String::new(), |max| format!(" at most {max}"));
