--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -1,8 +1,7 @@
-//! The reducer: every change of the dispatcher's state is one [`Core::step`], `(now, input)` in,
-//! [`Effect`]s out. It owns the requests taken and not yet closed, their attempts, the timers and
-//! the decision module, and sees to it that each request gets one final answer, by its deadline,
-//! and that a runner holds one attempt of a request at a time. It must never touch a socket, read a
-//! clock, know a wire or make a choice that is the module's: fronts and links do the talking.
+//! The reducer: every change of the dispatcher's state is one [`Core::step`], with `(now, input)` in and
+//! [`Effect`]s out. It guarantees that each request gets exactly one final answer, by its deadline, and
+//! that a runner holds at most one attempt of a request at a time. Contains no I/O, reads no clock and knows
+//! no wire format; scheduling decisions are the balancer's.
 
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -32,209 +31,215 @@
 struct Attempt {
     runner: u32,
     live: bool,
-    sent: sr::Time,
-    /// Nothing proves that it never ran.
+    sent_at: sr::Time,
+    /// False only if the attempt provably never ran.
     may_have_run: bool,
-    /// What may yet be heard of it, though it is over.
-    echo: Echo,
+    /// What its runner may still report after the attempt has ended.
+    late_report: LateReport,
 }
 
-/// What a runner may yet say of an attempt that is over: words name the request, not the attempt.
+/// What a runner may still report about an ended attempt: a report names the request, not the attempt.
 #[derive(PartialEq)]
-enum Echo {
-    /// It ended by an answer, or never began: nothing more is said.
+enum LateReport {
+    /// Nothing: the attempt was answered, or never began.
     None,
-    /// This word, again: its runner repeats a word until it hears that it was heard.
-    Word(sr::Outcome),
-    /// Whatever it has to say: it was given up, or its connection broke.
+    /// The same outcome again: a runner repeats its report until it is acknowledged.
+    Repeat(sr::Outcome),
+    /// Any outcome: the attempt was cancelled, or its connection broke.
     Any,
 }
 
-/// A key that is under way with a request.
-struct Held {
+/// The idempotency key of a request that is not answered yet.
+struct PendingKey {
     member: keys::Member,
     text: Rc<str>,
 }
 
 struct Request<J> {
-    /// Who waits for its answer, and for how long: its client, and those of repeats that joined.
-    waiting: Vec<(Ticket, sr::Time)>,
+    /// The waiting tickets with their deadlines: the first client's, and those of repeats that joined.
+    waiters: Vec<(Ticket, sr::Time)>,
     id: Rc<str>,
     class: u32,
-    /// The last one's.
+    /// The latest deadline of the waiting tickets.
     deadline: sr::Time,
     job: J,
-    key: Option<Held>,
-    /// When an earlier try of it, which may have run, was sent.
-    prior: Option<sr::Time>,
+    key: Option<PendingKey>,
+    /// When an earlier try of the request, which may have run, was sent.
+    prior_sent: Option<sr::Time>,
     answered: bool,
     attempts: Vec<Attempt>,
 }
 
-/// Counts for the log.
+/// Counters for the log's summary line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub taken: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
+    /// Clients that disconnected before their answer.
     pub left: u64,
     pub attempts: u64,
-    /// Answered with a word that the client can't mean this.
+    /// Requests rejected as invalid ([`Answer::Unfit`]).
     pub unfit: u64,
 }
 
 /// The dispatcher's state.
 pub struct Core<J> {
     balancer: sr::Balancer,
-    /// The settings in force: every class and tenant ever numbered, in place.
+    /// The settings in force, with every class and tenant ever numbered at its index.
     settings: sr::Settings,
     tables: Tables,
-    /// Classes that the settings no longer name, and until when they are taken still.
-    vanished: HashMap<u32, sr::Time>,
+    /// Classes that the settings no longer name, each with the time until which it is still accepted.
+    removed_classes: HashMap<u32, sr::Time>,
     /// Whether a request must name its tenant.
-    with_tenants: bool,
-    /// Where the list is asked for.
-    roster: SocketAddr,
-    /// Most requests held at once; more are refused unseen.
-    most: usize,
-    next: u32,
+    requires_tenant: bool,
+    /// The address that serves the runner list.
+    discovery: SocketAddr,
+    /// Most requests open at once; further ones are refused before the balancer sees them.
+    max_open: usize,
+    next_request: u32,
     requests: HashMap<u32, Request<J>>,
-    ids: HashMap<Rc<str>, u32>,
-    tickets: HashMap<Ticket, u32>,
+    requests_by_id: HashMap<Rc<str>, u32>,
+    requests_by_ticket: HashMap<Ticket, u32>,
     timers: BinaryHeap<Reverse<(sr::Time, u64, Timer)>>,
-    timers_set: u64,
-    /// When the program ends, once it is told so.
-    stop: Option<sr::Time>,
-    /// The clients' keys, where they are kept.
+    timer_sequence: u64,
+    /// When the program ends, once shutdown has begun.
+    stop_at: Option<sr::Time>,
+    /// The store of idempotency keys, if keys are enabled.
     keys: Option<keys::Store>,
-    /// The load digest, where one is followed.
+    /// The load digest, if one is followed.
     digest: Option<digest::Digest>,
-    /// Where runners stand, by number.
-    places: HashMap<u32, keys::Place>,
-    /// What each source last said of its runners.
-    lists: BTreeMap<(Source, u32), sr::ListEntry>,
-    /// Runners taken out by hand: the module hears of them as draining, whatever the lists say.
-    banned: BTreeSet<u32>,
-    /// Runners listed, and whether each is out by hand or because it drains.
-    standings: BTreeMap<u32, bool>,
-    /// Events for the module that its own actions brought about.
-    events: VecDeque<sr::Event>,
+    /// The zone and cell of each runner, by number.
+    locations: HashMap<u32, keys::Place>,
+    /// The last list entry of each runner from each source.
+    list_entries: BTreeMap<(Source, u32), sr::ListEntry>,
+    /// Manually disabled runners: the balancer sees them as draining, whatever the lists say.
+    disabled: BTreeSet<u32>,
+    /// The listed runners, and whether each is disabled or draining.
+    listed_runners: BTreeMap<u32, bool>,
+    /// Events for the balancer that its own actions caused.
+    pending_events: VecDeque<sr::Event>,
     actions: Vec<sr::Action>,
     effects: Vec<Effect<J>>,
     tally: Tally,
 }
 
 impl<J: Clone> Core<J> {
-    /// A dispatcher that starts now, asks `roster` for its runners and holds `most` requests at once.
+    /// Creates a dispatcher that gets its runner list from `discovery` and holds at most `max_open` requests.
     ///
     /// # Errors
     ///
-    /// Names the setting that makes no sense.
+    /// Names the invalid setting.
     pub fn new(
         settings: sr::Settings,
         tables: Tables,
-        roster: SocketAddr,
+        discovery: SocketAddr,
         seed: u64,
         now: sr::Time,
-        most: usize,
+        max_open: usize,
     ) -> Result<Core<J>, sr::SettingsError> {
         Ok(Core {
             keys: None,
             digest: None,
-            places: HashMap::new(),
+            locations: HashMap::new(),
             balancer: sr::Balancer::new(settings.clone(), seed, now)?,
-            with_tenants: !settings.tenants.is_empty(),
-            vanished: HashMap::new(),
+            requires_tenant: !settings.tenants.is_empty(),
+            removed_classes: HashMap::new(),
             settings,
             tables,
-            roster,
-            most,
-            next: 0,
+            discovery,
+            max_open,
+            next_request: 0,
             requests: HashMap::new(),
-            ids: HashMap::new(),
-            tickets: HashMap::new(),
+            requests_by_id: HashMap::new(),
+            requests_by_ticket: HashMap::new(),
             timers: BinaryHeap::new(),
-            timers_set: 0,
-            stop: None,
-            lists: BTreeMap::new(),
-            banned: BTreeSet::new(),
-            standings: BTreeMap::new(),
-            events: VecDeque::new(),
+            timer_sequence: 0,
+            stop_at: None,
+            list_entries: BTreeMap::new(),
+            disabled: BTreeSet::new(),
+            listed_runners: BTreeMap::new(),
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
             effects: Vec::new(),
             tally: Tally::default(),
         })
     }
 
-    /// The name tables, for fronts that check what clients name.
+    /// The name tables, for fronts that check the names that clients send.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// Whether a request of this id is here, answered or not.
+    /// Whether a request with this id is present, answered or not.
     pub fn has_request(&self, id: &str) -> bool {
-        self.ids.contains_key(id)
+        self.requests_by_id.contains_key(id)
     }
 
-    /// Requests that have no final answer yet.
+    /// The number of tickets without a final answer.
     pub fn open(&self) -> usize {
-        self.tickets.len()
+        self.requests_by_ticket.len()
     }
 
-    /// Requests kept, answered or not, and the ids that runners know them by: none once nothing is under way.
+    /// The number of requests in memory, answered or not, and of their ids; both are 0 when idle.
     pub fn retained(&self) -> (usize, usize) {
-        (self.requests.len(), self.ids.len())
+        (self.requests.len(), self.requests_by_id.len())
     }
 
-    /// What has been counted so far.
+    /// The counters since the start.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// Takes one input and says what is to be done, in this order.
+    /// Applies one input and returns the effects to execute, in order.
     pub fn step(&mut self, now: sr::Time, input: Input<J>) -> Vec<Effect<J>> {
         match input {
-            Input::Arrived(arrival) => self.arrived(now, arrival),
-            Input::ClientGone(ticket) => self.client_gone(now, ticket),
-            Input::Started { id, from } => self.noted(now, &id, &from, sr::AttemptUpdate::Started),
+            Input::Arrived(arrival) => self.handle_arrival(now, arrival),
+            Input::ClientGone(ticket) => self.handle_client_gone(now, ticket),
+            Input::Started { id, from } => self.handle_update(now, &id, &from, sr::AttemptUpdate::Started),
             Input::Progress { id, from, share } => {
-                self.noted(now, &id, &from, sr::AttemptUpdate::Progress(share))
+                self.handle_update(now, &id, &from, sr::AttemptUpdate::Progress(share))
             }
-            Input::Finished { id, from, end: ending } => {
-                if let Some(attempt) = self.live(&id, &from) {
-                    self.told(now, attempt, ending);
+            Input::Finished { id, from, end } => {
+                if let Some(attempt) = self.live_attempt(&id, &from) {
+                    self.handle_finished(now, attempt, end);
                 }
             }
-            Input::AttemptEnded(attempt, ending) => {
-                let answered = ending.outcome.never_ran() || ending.outcome == sr::Outcome::Error;
-                self.ended(now, attempt, ending, if answered { Echo::None } else { Echo::Any });
+            Input::AttemptEnded(attempt, end) => {
+                let answered = end.outcome.never_ran() || end.outcome == sr::Outcome::Error;
+                self.end_attempt(
+                    now,
+                    attempt,
+                    end,
+                    if answered { LateReport::None } else { LateReport::Any },
+                );
             }
-            Input::RequestRejected(attempt) => self.unusable(now, attempt),
+            Input::RequestRejected(attempt) => self.handle_request_rejected(now, attempt),
             Input::Probed { runner, ok, report } => {
                 if let Some(runner) = self.tables.workers.get(&runner) {
-                    self.tell(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
+                    self.notify(now, sr::Event::Probed(sr::WorkerId(runner), ok, report));
                 }
             }
-            Input::Digest(frame) => self.digest(now, &frame),
-            Input::List(source, kind, listed) => self.list(now, source, kind, listed),
-            Input::ListFailed => self.tell(now, sr::Event::ListFailed),
-            Input::ListSilent => self.tell(now, sr::Event::ListSilent),
-            Input::Reconfigure(retune) => self.retune(now, *retune),
+            Input::Digest(frame) => self.handle_digest(now, &frame),
+            Input::List(source, kind, listed) => self.handle_list(now, source, kind, listed),
+            Input::ListFailed => self.notify(now, sr::Event::ListFailed),
+            Input::ListSilent => self.notify(now, sr::Event::ListSilent),
+            Input::Reconfigure(reconfiguration) => self.reconfigure(now, *reconfiguration),
             Input::DiscoveryMoved(at) => {
-                // At once, and not when the module next asks: it waits for the old watch to fall silent.
-                if self.roster != at {
-                    self.roster = at;
+                // Subscribes at once: the balancer would only ask again after the old watch has gone silent.
+                if self.discovery != at {
+                    self.discovery = at;
                     self.effects.push(Effect::Subscribe(at));
-                    self.tell(now, sr::Event::DiscoveryMoved);
+                    self.notify(now, sr::Event::DiscoveryMoved);
                 }
             }
             Input::StopAt(at) => {
-                self.stop = Some(at);
+                self.stop_at = Some(at);
                 self.set_timer(at, Timer::Stop);
             }
-            Input::SetDisabled { call, runner, disabled: out, from_peer: shared } => {
-                let result = self.hand(now, &runner, out, shared);
+            Input::SetDisabled { call, runner, disabled, from_peer } => {
+                let result = self.set_disabled(now, &runner, disabled, from_peer);
                 self.effects.push(Effect::AdminResult { call, result });
             }
             Input::TimerDue => {}
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -1,6 +1,5 @@
-//! `sablerun jobs`: looks at a store of durable jobs while no dispatcher has it open, and changes the one
-//! thing that only an operator may: a dead job is tried again. It owns the tables and the words; what may
-//! become of a job is the ledger's to say, and every change goes through it.
+//! `sablerun jobs`: inspects a store of durable jobs while no dispatcher has it open, and lets an operator
+//! retry dead jobs. All changes go through the ledger.
 
 use crate::cli::ignore_broken_pipe;
 use crate::runtime::unix_now;
@@ -15,14 +14,14 @@
 #[derive(Debug, Args)]
 pub struct Jobs {
     #[command(subcommand)]
-    what: What,
+    command: JobsCommand,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum JobsCommand {
     /// List jobs, the newest first.
     List(List),
-    /// List the jobs that are out of tries, with what they said last.
+    /// List the jobs that are out of tries, with their last error.
     Dead {
         /// The store's file.
         file: PathBuf,
@@ -30,14 +29,14 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show one job whole.
+    /// Show all of one job.
     Show {
         /// The store's file.
         file: PathBuf,
         /// The job's number.
         id: u64,
     },
-    /// Let dead jobs be tried again, with all their tries.
+    /// Retry dead jobs, with their full number of tries.
     Retry {
         /// The store's file.
         file: PathBuf,
@@ -50,7 +49,7 @@
         /// The store's file.
         file: PathBuf,
     },
-    /// Check the file, every record and every invariant; exits 1 if one does not hold.
+    /// Check the file, every record and every invariant; exits with 1 if one does not hold.
     Verify {
         /// The store's file.
         file: PathBuf,
@@ -64,16 +63,16 @@
 struct List {
     /// The store's file.
     file: PathBuf,
-    /// Only those that stand so.
+    /// Only jobs in this state.
     #[arg(long, value_enum)]
-    state: Option<Standing>,
+    state: Option<JobState>,
     /// Only this member's.
     #[arg(long)]
     member: Option<String>,
     /// Only this class's.
     #[arg(long)]
     class: Option<String>,
-    /// So many at the most.
+    /// List at most N jobs.
     #[arg(long, default_value_t = 20, value_name = "N")]
     most: usize,
     /// Print one JSON array.
@@ -82,7 +81,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Standing {
+enum JobState {
     Waiting,
     Leased,
     Completed,
@@ -90,57 +89,57 @@
     Cancelled,
 }
 
-impl Standing {
-    fn of(job: &Job) -> Standing {
+impl JobState {
+    fn of(job: &Job) -> JobState {
         match job.state {
-            State::Waiting { .. } => Standing::Waiting,
-            State::Leased { .. } => Standing::Leased,
-            State::Completed { .. } => Standing::Completed,
-            State::Dead { .. } => Standing::Dead,
-            State::Cancelled { .. } => Standing::Cancelled,
+            State::Waiting { .. } => JobState::Waiting,
+            State::Leased { .. } => JobState::Leased,
+            State::Completed { .. } => JobState::Completed,
+            State::Dead { .. } => JobState::Dead,
+            State::Cancelled { .. } => JobState::Cancelled,
         }
     }
 
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
-            Standing::Waiting => "waiting",
-            Standing::Leased => "leased",
-            Standing::Completed => "completed",
-            Standing::Dead => "dead",
-            Standing::Cancelled => "cancelled",
+            JobState::Waiting => "waiting",
+            JobState::Leased => "leased",
+            JobState::Completed => "completed",
+            JobState::Dead => "dead",
+            JobState::Cancelled => "cancelled",
         }
     }
 }
 
-/// Does what is asked for. All text goes out as it is made: a reader may have seen enough.
+/// Runs a command. Output is written as it is produced, since the reader may close the pipe early.
 pub fn run(jobs: &Jobs) -> Result<(), String> {
-    let done = match &jobs.what {
-        What::List(list) => {
+    let result = match &jobs.command {
+        JobsCommand::List(list) => {
             let (_, loaded) = open(&list.file)?;
             let wanted = |job: &&Job| {
-                let is = |want: &Option<String>, number| {
+                let matches = |want: &Option<String>, number| {
                     want.as_deref().is_none_or(|w| w == name(&loaded, number))
                 };
-                list.state.is_none_or(|state| state == Standing::of(job))
-                    && is(&list.member, job.member)
-                    && is(&list.class, job.class)
+                list.state.is_none_or(|state| state == JobState::of(job))
+                    && matches(&list.member, job.member)
+                    && matches(&list.class, job.class)
             };
             let all: Vec<_> = loaded.jobs.iter().rev().filter(wanted).take(list.most).collect();
             print_list(&loaded, &all, list.json)
         }
-        What::Dead { file, json } => {
+        JobsCommand::Dead { file, json } => {
             let (_, loaded) = open(file)?;
-            let dead = |job: &&Job| Standing::of(job) == Standing::Dead;
+            let dead = |job: &&Job| JobState::of(job) == JobState::Dead;
             let all: Vec<_> = loaded.jobs.iter().rev().filter(dead).collect();
             print_list(&loaded, &all, *json)
         }
-        What::Show { file, id } => {
+        JobsCommand::Show { file, id } => {
             let (_, loaded) = open(file)?;
             let job = loaded.jobs.iter().find(|job| job.id.0 == *id);
-            let job = job.ok_or_else(|| unknown(*id, file))?;
-            writeln!(io::stdout(), "{:#}", whole(&loaded, job))
+            let job = job.ok_or_else(|| no_such_job(*id, file))?;
+            writeln!(io::stdout(), "{:#}", job_json(&loaded, job))
         }
-        What::Retry { file, ids } => {
+        JobsCommand::Retry { file, ids } => {
             let revived = retry(file, ids)?;
             writeln!(
                 io::stdout(),
@@ -148,16 +147,16 @@
                 file.display()
             )
         }
-        What::Export { file } => {
+        JobsCommand::Export { file } => {
             let (_, loaded) = open(file)?;
             let mut out = io::BufWriter::new(io::stdout().lock());
-            let lines = loaded.jobs.iter().try_for_each(|job| writeln!(out, "{}", whole(&loaded, job)));
+            let lines = loaded.jobs.iter().try_for_each(|job| writeln!(out, "{}", job_json(&loaded, job)));
             lines.and_then(|()| out.flush())
         }
-        What::Verify { file, json } => {
+        JobsCommand::Verify { file, json } => {
             let (_, loaded) = open(file)?;
             let broken = verify(&loaded);
-            let told = if *json {
+            let written = if *json {
                 writeln!(io::stdout(), "{}", json!({"jobs": loaded.jobs.len(), "broken": broken}))
             } else {
                 broken.iter().try_for_each(|what| writeln!(io::stdout(), "{what}")).and_then(|()| {
@@ -166,27 +165,27 @@
                 })
             };
             if !broken.is_empty() {
-                ignore_broken_pipe(told)?;
+                ignore_broken_pipe(written)?;
                 return Err(format!("{}: not as it should be; export what can be read", file.display()));
             }
-            told
+            written
         }
     };
-    ignore_broken_pipe(done)
+    ignore_broken_pipe(result)
 }
 
-fn unknown(id: u64, file: &Path) -> String {
+fn no_such_job(id: u64, file: &Path) -> String {
     format!("{id}: no such job in {}; `sablerun jobs list` shows those that there are", file.display())
 }
 
-/// Opens a store that is there: a name mistyped must not make a new one.
+/// Opens an existing store. A mistyped name must not create a new one.
 fn open(file: &Path) -> Result<(DiskStore, StoreContents), String> {
-    let told = |e: StoreError| format!("{}: {e}", file.display());
+    let with_path = |e: StoreError| format!("{}: {e}", file.display());
     if !file.is_file() {
         return Err(format!("{}: no such file", file.display()));
     }
-    let mut disk = DiskStore::open(file).map_err(told)?;
-    let loaded = disk.load().map_err(told)?;
+    let mut disk = DiskStore::open(file).map_err(with_path)?;
+    let loaded = disk.load().map_err(with_path)?;
     Ok((disk, loaded))
 }
 
@@ -198,8 +197,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A job as JSON, with all that is known of it.
-fn whole(loaded: &StoreContents, job: &Job) -> Value {
+/// A job with all its fields, as JSON.
+fn job_json(loaded: &StoreContents, job: &Job) -> Value {
     let (at, result) = match &job.state {
         State::Waiting { due_at: at }
         | State::Dead { finished_at: at }
@@ -212,7 +211,7 @@
         "member": name(loaded, job.member),
         "class": name(loaded, job.class),
         "key": job.key.as_ref().map(|key| text(key)),
-        "state": Standing::of(job).word(),
+        "state": JobState::of(job).name(),
         "state_time_unix_ns": at.0,
         "accepted_unix_ns": job.accepted_at.0,
         "lease_s": job.lease.secs(),
@@ -228,7 +227,7 @@
 fn print_list(loaded: &StoreContents, jobs: &[&Job], json: bool) -> io::Result<()> {
     let mut out = io::BufWriter::new(io::stdout().lock());
     if json {
-        let all: Vec<_> = jobs.iter().map(|job| whole(loaded, job)).collect();
+        let all: Vec<_> = jobs.iter().map(|job| job_json(loaded, job)).collect();
         writeln!(out, "{}", Value::from(all))?;
         return out.flush();
     }
@@ -239,14 +238,14 @@
         "id", "state", "member", "class", "tries", "epoch", "age s"
     )?;
     for job in jobs {
-        // What a worker said may hold anything; a terminal must not.
+        // A worker's error may hold arbitrary text: control characters must not reach the terminal.
         let error = job.last_error.as_deref().unwrap_or("").escape_debug().to_string();
         let short: String = error.chars().take(60).collect();
         writeln!(
             out,
             "{:>8} {:<10} {:<14} {:<14} {:>2}/{:<2} {:>6} {:>9.1}  {short}",
             job.id.0,
-            Standing::of(job).word(),
+            JobState::of(job).name(),
             name(loaded, job.member),
             name(loaded, job.class),
             job.attempts,
@@ -261,12 +260,12 @@
 fn retry(file: &Path, ids: &[u64]) -> Result<usize, String> {
     let (mut disk, loaded) = open(file)?;
     for id in ids {
-        let job = loaded.jobs.iter().find(|job| job.id.0 == *id).ok_or_else(|| unknown(*id, file))?;
-        if Standing::of(job) != Standing::Dead {
-            return Err(format!("{id}: is {}, and only a dead job is tried again", Standing::of(job).word()));
+        let job = loaded.jobs.iter().find(|job| job.id.0 == *id).ok_or_else(|| no_such_job(*id, file))?;
+        if JobState::of(job) != JobState::Dead {
+            return Err(format!("{id}: is {}, and only a dead job is tried again", JobState::of(job).name()));
         }
     }
-    // No lease is given and nothing is forgotten here: who opens the store next does that.
+    // Grants no leases and forgets nothing: the dispatcher that opens the store next does that.
     let rules = LedgerConfig { max_leases: 0, retention: sr::Span(u64::MAX), ..LedgerConfig::default() };
     let ledger = Ledger::load(rules, 0, unix_now(), loaded.next_id, loaded.jobs);
     let mut ledger = ledger.map_err(|e| format!("{}: {e}", file.display()))?;
@@ -278,12 +277,12 @@
     Ok(ids.len())
 }
 
-/// What does not hold, in words. That every record's checksum matches was seen when it was loaded.
+/// Returns a description of each violated invariant. The records' checksums were checked during loading.
 fn verify(loaded: &StoreContents) -> Vec<String> {
     let mut broken = Vec::new();
     for job in &loaded.jobs {
-        let leased = Standing::of(job) == Standing::Leased;
-        let completed = Standing::of(job) == Standing::Completed;
+        let leased = JobState::of(job) == JobState::Leased;
+        let completed = JobState::of(job) == JobState::Completed;
         for (holds, what) in [
             (job.id.0 < loaded.next_id, "its number may be given again"),
             (job.max_attempts > 0, "it may have no tries"),
@@ -291,7 +290,7 @@
             (u64::from(job.attempts) <= job.epoch.0, "it had more tries than leases"),
             (!(leased || completed) || job.epoch.0 > 0, "it has a worker's state, and never had a lease"),
             (!leased || job.attempts > 0, "it is leased, and had no try"),
-            (Standing::of(job) != Standing::Dead || job.last_error.is_some(), "it is dead of nothing"),
+            (JobState::of(job) != JobState::Dead || job.last_error.is_some(), "it is dead of nothing"),
             ((job.member as usize) < loaded.names.len() || job.member == u32::MAX, "its member has no name"),
             ((job.class as usize) < loaded.names.len(), "its class has no name"),
         ] {
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -1,5 +1,4 @@
-//! Which runners there are, and what each says of its load: the watch on discovery's list, and one question to each
-//! runner in a round. It owns both; it must never judge an answer.
+//! Watches discovery's runner list and polls each listed runner's load once per interval.
 
 use super::Shared;
 use crate::net::hosts::Hosts;
@@ -16,26 +15,27 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time for a runner's answer.
-const ANSWER: Duration = Duration::from_millis(500);
-/// Time without a word after which the watch is opened anew: an empty line comes every 2 s.
-const SILENT: Duration = Duration::from_millis(4500);
-/// Longest wait before it is.
-const AGAIN: Duration = Duration::from_secs(1);
-/// Longest line of a watch, and longest answer, in bytes.
-const LINE: usize = 4 * 1024 * 1024;
-const BODY: usize = 64 * 1024;
+/// Timeout for a runner's answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time without data after which the watch is reopened; an empty line comes every 2 s.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
+/// Longest delay before the watch is reopened.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Longest line of a watch, in bytes.
+const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
+/// Longest load answer, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Where runners listen, by name.
+/// The runners' addresses, by name.
 type Runners = Rc<RefCell<BTreeMap<String, SocketAddr>>>;
 
-/// Follows the list and asks those on it; never ends.
+/// Follows the list and polls the listed runners; never returns.
 pub(super) async fn follow(shared: Rc<Shared>) {
     let (runners, mut seq) = (Runners::default(), 0);
     loop {
         let why = watch(&shared, &runners, &mut seq).await.err().unwrap_or_else(|| "ended".to_owned());
         log::warn!("discovery: watch failed: {why}");
-        tokio::time::sleep(AGAIN.mul_f64(fastrand::f64())).await;
+        tokio::time::sleep(MAX_RETRY_DELAY.mul_f64(fastrand::f64())).await;
     }
 }
 
@@ -44,42 +44,43 @@
     let url = format!("http://{at}/discovery/hosts?stream=1&index={seq}");
     let request = Client::default().get(url).address(at).no_decompress().force_close().send();
     let silent = |_| "silent".to_owned();
-    let mut response = timeout(SILENT, request).await.map_err(silent)?.map_err(|e| e.to_string())?;
+    let mut response =
+        timeout(WATCH_SILENCE_TIMEOUT, request).await.map_err(silent)?.map_err(|e| e.to_string())?;
     if response.status() != StatusCode::OK {
         return Err(format!("answered {}", response.status()));
     }
-    let mut objects = JsonStream::new(LINE);
-    while let Some(bytes) = timeout(SILENT, response.next()).await.map_err(silent)? {
+    let mut objects = JsonStream::new(MAX_LINE_BYTES);
+    while let Some(bytes) = timeout(WATCH_SILENCE_TIMEOUT, response.next()).await.map_err(silent)? {
         objects.extend(&bytes.map_err(|e| e.to_string())?);
         while let Some(hosts) = objects.next::<Hosts>()? {
             *seq = hosts.seq;
-            listed(shared, runners, hosts);
+            apply_list(shared, runners, hosts);
         }
     }
     Ok(())
 }
 
-fn listed(shared: &Rc<Shared>, runners: &Runners, hosts: Hosts) {
-    let mut held = runners.borrow_mut();
+fn apply_list(shared: &Rc<Shared>, runners: &Runners, hosts: Hosts) {
+    let mut known = runners.borrow_mut();
     if hosts.whole {
-        held.retain(|name, _| hosts.hosts.iter().any(|host| host.host == *name));
+        known.retain(|name, _| hosts.hosts.iter().any(|host| host.host == *name));
     }
     for host in hosts.hosts {
         match host.dial.parse() {
             Ok(at) if host.health != "left" => {
-                if held.insert(host.host.clone(), at).is_none() {
-                    actix_rt::spawn(ask(shared.clone(), runners.clone(), host.host));
+                if known.insert(host.host.clone(), at).is_none() {
+                    actix_rt::spawn(poll_runner(shared.clone(), runners.clone(), host.host));
                 }
             }
-            _ => _ = held.remove(&host.host),
+            _ => _ = known.remove(&host.host),
         }
     }
 }
 
-/// Asks one runner in each round, at a moment of its own in it, for as long as it is listed.
-async fn ask(shared: Rc<Shared>, runners: Runners, runner: String) {
-    // The connection is kept from round to round.
-    let client = Client::builder().timeout(ANSWER).finish();
+/// Polls one runner once per interval, at a random offset within it, while it is listed.
+async fn poll_runner(shared: Rc<Shared>, runners: Runners, runner: String) {
+    // The connection is reused between rounds.
+    let client = Client::builder().timeout(ANSWER_TIMEOUT).finish();
     let every = shared.config.every();
     tokio::time::sleep(every.mul_f64(fastrand::f64())).await;
     let mut rounds = tokio::time::interval(every);
@@ -87,20 +88,21 @@
     loop {
         rounds.tick().await;
         let Some(at) = runners.borrow().get(&runner).copied() else { return };
-        let told = timeout(ANSWER, answer(&client, at)).await.ok().flatten();
-        let figure = |name: &String| told.as_ref().and_then(|told| told.get(name)?.as_f64()).unwrap_or(0.0);
-        let figures = shared.config.fields.iter().map(figure).collect();
-        let load = Load { runner: runner.clone(), ok: told.is_some(), values: figures };
+        let report = timeout(ANSWER_TIMEOUT, fetch_load(&client, at)).await.ok().flatten();
+        let value =
+            |name: &String| report.as_ref().and_then(|report| report.get(name)?.as_f64()).unwrap_or(0.0);
+        let values = shared.config.fields.iter().map(value).collect();
+        let load = Load { runner: runner.clone(), ok: report.is_some(), values };
         shared.publisher.borrow_mut().record(&load);
     }
 }
 
-async fn answer(client: &Client, at: SocketAddr) -> Option<Map<String, Value>> {
+async fn fetch_load(client: &Client, at: SocketAddr) -> Option<Map<String, Value>> {
     let url = format!("http://{at}/metrics/load");
     let mut response = client.get(url).address(at).no_decompress().send().await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let body = response.body().limit(BODY).await.ok()?;
+    let body = response.body().limit(MAX_BODY_BYTES).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
