--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -75,7 +75,7 @@
     /// Age at which the runner metrics are updated.
     pub runner_count_interval: Duration,
     /// Time for the other process of an upgrade to accept a forwarded call-back.
-    pub hand_on_timeout: Duration,
+    pub forward_timeout: Duration,
     /// Interval at which the file of disabled runners, shared with a successor, is read.
     pub disabled_sync_interval: Duration,
 }
@@ -155,7 +155,7 @@
             // most 1 s after the call.
             disabled_sync_interval: Duration::from_millis(250),
             runner_count_interval: Duration::from_millis(100),
-            hand_on_timeout: Duration::from_millis(300),
+            forward_timeout: Duration::from_millis(300),
             // New settings are in use 1.2 s after SIGHUP, when a client's last job of a removed class may
             // still be on its way.
             removed_class_grace: Duration::from_secs(2),
