--- a/src/balance.rs
+++ b/src/balance.rs
@@ -30,44 +30,76 @@
 const STALL_S: f64 = 0.3;
 /// Cap on a value, as a multiple of the usual one: a single absurd value must not cost other requests.
 const OUTLIER: f64 = 64.0;
-/// Timer tokens of the balancer itself; smaller ones belong to requests and attempts.
+/// Token of the timer for the next pass over the queue. Smaller ones belong to requests and attempts.
 const DISPATCH_TIMER: u64 = 1 << 62;
+/// Token of the timer for the next probes.
 const PROBE_TIMER: u64 = DISPATCH_TIMER + 1;
+/// Token of the timer for the next request for the list.
 const SUBSCRIBE_TIMER: u64 = DISPATCH_TIMER + 2;
 
 /// Turns events into actions. The default has no classes and admits nothing; use [`Balancer::new`].
 #[derive(Default)]
 pub struct Balancer {
+    /// The settings in use.
     settings: Settings,
+    /// Source of every random choice, with the seed given to [`Balancer::new`].
     rng: fastrand::Rng,
+    /// Time of the balancer's creation.
     start: Time,
-    now: Time,               // of the current event
-    stalled_at: Time,        // when events last resumed after a gap
-    now_s: f64,              // `now` in seconds since the start
-    started: bool,           // the first event has been handled
-    outbox: Vec<Action>,     // of the current event
-    entries: Vec<ListEntry>, // the worker list, by worker number
-    workers: Vec<Worker>,    // estimates of the same workers
+    /// Time of the current event.
+    now: Time,
+    /// Time of the last event that followed a gap longer than `STALL_S`.
+    stalled_at: Time,
+    /// `now` in seconds since the start.
+    now_s: f64,
+    /// Whether the first event has been handled.
+    started: bool,
+    /// Actions of the current event.
+    outbox: Vec<Action>,
+    /// The worker list, by worker number.
+    entries: Vec<ListEntry>,
+    /// Estimates of the same workers.
+    workers: Vec<Worker>,
+    /// Estimates shared by workers of one machine kind in one zone.
     groups: Vec<Group>,
+    /// Estimates of the classes, by class number.
     classes: Vec<ClassStats>,
-    /// By tenant: quota per second, requests it may still make, share of the quota used here, and as of when.
+    /// By tenant: quota in requests per second, requests that it may still make, the share of its quota used
+    /// at this dispatcher, and the time at which the last two held, in seconds since the start.
     tenants: Vec<(f64, f64, f64, f64)>,
+    /// Requests that are queued or have outstanding attempts.
     requests: HashMap<RequestId, Request>,
-    pending: BTreeSet<(bool, u64, RequestId)>, // in order of service: within share first, then by rank
+    /// The queue in order of service: requests within their tenant's share first, then by rank.
+    pending: BTreeSet<(bool, u64, RequestId)>,
+    /// Whether a timer for the next pass over the queue is set.
     dispatch_timer_set: bool,
-    mean_work: [f64; 2], // mean running time times slots of arrivals, from 0.1 s and from the objectives on
-    hint_scale: (f64, f64), // running time at the fleet's mean pace per second of hint; number of samples
-    base_latency: f64,   // reported by a worker of mean pace, in seconds
-    /// Arrival times of requests, and times of retries, within the retry budget's window.
+    /// Mean work of arrivals, in slots times seconds: an average that began at 0.1, and one that began at the
+    /// mean of the classes' objectives.
+    mean_work: [f64; 2],
+    /// Running time at the fleet's mean pace per second of hint, and the number of samples.
+    hint_scale: (f64, f64),
+    /// Latency reported by a worker of mean pace, in seconds; zero until there is a report.
+    base_latency: f64,
+    /// Arrival times of requests within the retry budget's window.
     recent_requests: VecDeque<Time>,
+    /// Times of retries within the retry budget's window.
     recent_retries: VecDeque<Time>,
-    late_starts: [f64; 2], // share of recent attempts that started late, in the local and in remote zones
-    full_rate: f64,        // share of recent attempts rejected as full
-    base_errors: f64,      // lowest error rate of a worker in use
-    loss_rate: f64,        // estimated share of recent attempts whose answers were lost
-    repeat_errors: (f64, f64), // share of errors that occurred again at another worker; time of update
-    safe_idle_s: f64,      // idle time that connections have been found to survive
-    list_backoff: f64,     // in seconds
+    /// Share of recent attempts that started late, in the local and in remote zones.
+    late_starts: [f64; 2],
+    /// Share of recent attempts rejected as full.
+    full_rate: f64,
+    /// Lowest error rate of a worker in use.
+    base_errors: f64,
+    /// Estimated share of recent attempts whose answers were lost.
+    loss_rate: f64,
+    /// Share of errors that occurred again at another worker, and the time of its update in seconds since the
+    /// start.
+    repeat_errors: (f64, f64),
+    /// Idle time that connections have been found to survive, in seconds.
+    safe_idle_s: f64,
+    /// Backoff before the next request for the list, in seconds; zero after a list has arrived.
+    list_backoff: f64,
+    /// Whether a timer for the next request for the list is set.
     subscribe_pending: bool,
     /// While the watch is lost: when unseen list changes start to count as reported, and sending must stop.
     list_expiry: Option<Time>,
--- a/src/balance/estimates.rs
+++ b/src/balance/estimates.rs
@@ -37,6 +37,7 @@
         (group.jobs, group.ratio_sum) = (group.jobs * 0.995 + 1.0, group.ratio_sum * 0.995 + ratio);
     }
 
+    /// Returns the estimates shared by the workers of this one's kind and zone.
     pub(super) fn group(&self, i: usize) -> &Group {
         &self.groups[self.workers[i].group]
     }
@@ -113,6 +114,7 @@
         self.base_errors = in_use.map(|w| self.failure_rate(w, 0)).fold(1.0, f64::min);
     }
 
+    /// Sets the failure rate at a place, as of now.
     fn set_failure_rate(&mut self, i: usize, place: usize, share: f64) {
         self.workers[i].failure_rates.resize(self.classes.len() + 1, (0.0, 0.0));
         self.workers[i].failure_rates[place] = (share, self.now_s);
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -1,98 +1,161 @@
 //! What the balancer knows of workers, classes and requests. Only the files beside this one change it.
+//! A time of type `f64` is in seconds since the balancer's start.
 
 use super::*;
 
 /// This dispatcher's own attempts at a worker.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Load {
-    pub(super) slots: f64,   // of all outstanding attempts
-    pub(super) running: f64, // slots of those that have started
-    pub(super) queued: u32,  // number of those not known to have started
-    /// Over running jobs, sums of 1/work and start/work: `rate * now - offset` is their elapsed time in jobs.
+    /// Slots of all outstanding attempts, except those whose answers are presumed lost.
+    pub(super) slots: f64,
+    /// Slots of those that have started.
+    pub(super) running: f64,
+    /// Number of those not known to have started.
+    pub(super) queued: u32,
+    /// Sum of `1 / work` over the running jobs, per second; `elapsed_rate * now - elapsed_offset` is their
+    /// elapsed time, in units of their expected running times.
     pub(super) elapsed_rate: f64,
+    /// Sum of `start / work` over the running jobs.
     pub(super) elapsed_offset: f64,
 }
 
 /// Estimates of a worker.
 #[derive(Default)]
 pub(super) struct Worker {
+    /// This dispatcher's own attempts there.
     pub(super) load: Load,
-    /// Rate of errors, then of each class's attempts that failed or did not start; each with its time.
+    /// At index 0 the rate of errors, then for each class the rate of attempts that failed or did not start;
+    /// each with the time at which it held.
     pub(super) failure_rates: Vec<(f64, f64)>,
-    pub(super) others: f64, // slots that other dispatchers took when last seen
+    /// Slots that other dispatchers took when last observed.
+    pub(super) others: f64,
+    /// Time of that observation.
     pub(super) others_at: f64,
-    pub(super) group: usize, // index into the groups
-    /// Pace: number of ended jobs, and the sum of their times in units of their classes' means; both decay.
+    /// Index into the balancer's groups.
+    pub(super) group: usize,
+    /// Number of ended jobs, decayed since they ended.
     pub(super) jobs: f64,
+    /// Sum of the times of these jobs in units of their expected running times, decayed likewise.
     pub(super) ratio_sum: f64,
+    /// Time up to which `jobs` and `ratio_sum` are decayed.
     pub(super) pace_at: f64,
-    pub(super) report: Report, // the last one; the same again with later answers is no news
+    /// The last report. An equal one that comes with a later answer contains nothing new.
+    pub(super) report: Report,
+    /// Time of the last report or probe.
     pub(super) reported_at: f64,
-    pub(super) transfer_s: f64, // time there and back beyond the job itself (CD)
-    pub(super) heard_s: f64,    // time of the last answer or update
-    pub(super) idle_since: Vec<f64>, // for each idle connection, the newest last
-    pub(super) trial_at: Option<f64>, // while suspect: when it may get a trial request
-    pub(super) tokens: (f64, f64), // cold-start tokens, and how many of them can be saved up
+    /// Mean time of an attempt beyond the job itself, there and back, in seconds (`CD`).
+    pub(super) transfer_s: f64,
+    /// Time of the last answer or update.
+    pub(super) heard_s: f64,
+    /// For each idle connection the time since which it has been idle, the newest last.
+    pub(super) idle_since: Vec<f64>,
+    /// Set while the worker is suspect: when it may get a trial request.
+    pub(super) trial_at: Option<f64>,
+    /// Cold-start tokens, each good for a mean job, and how many of them can be saved up.
+    pub(super) tokens: (f64, f64),
+    /// Time of the last refill of the tokens.
     pub(super) tokens_at: f64,
-    pub(super) listed: bool,   // a list has named it
-    pub(super) drained: bool,  // a list has called it draining since its process last started
-    pub(super) returned: bool, // it is back from a drain and nothing was sent to it since
+    /// Whether a list has named it.
+    pub(super) listed: bool,
+    /// Whether a list has called it draining since its process last started.
+    pub(super) drained: bool,
+    /// Whether it is back from a drain and nothing has been sent to it since.
+    pub(super) returned: bool,
 }
 
 /// Estimates shared by the workers of one machine kind in one zone: slots, pace and queues.
 #[derive(Default)]
 pub(super) struct Group {
+    /// The machine kind and the zone.
     pub(super) key: (KindId, ZoneId),
-    pub(super) delays: [f64; 2], // usual time to a start update over an open and over a new connection
-    pub(super) slots: f64,       // estimated slots of a worker
-    pub(super) max_free: f64,    // most slots reported free
+    /// Usual time from a send to its start update, in seconds: over an open and over a new connection.
+    pub(super) delays: [f64; 2],
+    /// Estimated slots of each worker.
+    pub(super) slots: f64,
+    /// Most slots that a worker has reported free.
+    pub(super) max_free: f64,
+    /// Number of ended jobs, decayed with each further one.
     pub(super) jobs: f64,
+    /// Sum of the times of these jobs in units of their expected running times, decayed likewise.
     pub(super) ratio_sum: f64,
+    /// Slots that other dispatchers usually take at a worker.
     pub(super) others: f64,
+    /// Time of the last observation of these.
     pub(super) others_at: f64,
 }
 
 /// Estimates of a class of request.
 pub(super) struct ClassStats {
-    pub(super) mean: (f64, f64), // running time at the fleet's mean pace, and the number of samples
-    pub(super) max_window: f64,  // longest time from an arrival to its deadline
+    /// Mean running time at the fleet's mean pace, in seconds, and the number of samples.
+    pub(super) mean: (f64, f64),
+    /// Longest time from an arrival to its deadline, in seconds.
+    pub(super) max_window: f64,
 }
 
+/// An attempt of a request.
 #[derive(Default)]
 pub(super) struct Attempt {
+    /// Number of the worker that it was sent to.
     pub(super) worker: usize,
+    /// When it was sent.
     pub(super) sent_at: Time,
+    /// When its start update arrived.
     pub(super) started_at: Option<Time>,
+    /// When its last update arrived; until one does, when it was sent.
     pub(super) heard_at: Time,
-    pub(super) idle_s: f64, // how long its connection had been idle; zero for a new one
+    /// How long its connection had been idle, in seconds; zero for a new one.
+    pub(super) idle_s: f64,
+    /// How it ended; `None` while it is outstanding.
     pub(super) outcome: Option<Outcome>,
+    /// Whether its cancellation has been requested.
     pub(super) cancelled: bool,
-    pub(super) overdue: bool, // it should have ended long ago
-    pub(super) lost: bool,    // its answer is presumed lost; it no longer counts as load
+    /// Whether it has run much longer than expected.
+    pub(super) overdue: bool,
+    /// Whether its answer is presumed lost, so that it no longer counts as load.
+    pub(super) lost: bool,
 }
 
+/// A request that is queued or has outstanding attempts.
 #[derive(Default)]
 pub(super) struct Request {
+    /// Index of its class.
     pub(super) class: usize,
+    /// Slots that it takes while it runs, by its slots or its memory, whichever is more.
     pub(super) slots: f64,
-    pub(super) work: f64, // running time at the fleet's mean pace, by its hint, else its class's mean
-    pub(super) hint: f64, // running time by the client's estimate, in seconds; zero if unknown
+    /// Expected running time at the fleet's mean pace, in seconds: by its hint, else its class's mean.
+    pub(super) work: f64,
+    /// Running time by the client's estimate, in seconds; zero if unknown.
+    pub(super) hint: f64,
+    /// When its first try arrived, by estimate.
     pub(super) arrived_s: f64,
-    pub(super) target: f64, // seconds from its arrival within which it is to be answered
+    /// Seconds from its arrival within which an answer is in time.
+    pub(super) target: f64,
+    /// When the client stops waiting.
     pub(super) deadline: Time,
+    /// Most attempts that it may make.
     pub(super) max_attempts: usize,
-    pub(super) start_by: Time,  // a later start is useless
-    pub(super) cancel_at: Time, // when a waiting attempt is cancelled
+    /// When it is too late to start it.
+    pub(super) start_by: Time,
+    /// When an attempt that has not started is cancelled.
+    pub(super) cancel_at: Time,
+    /// Whether it exceeds its tenant's share.
     pub(super) over_share: bool,
-    pub(super) prior: Option<PriorAttempt>, // where an earlier try may have run
-    pub(super) yielded_share: f64, // share of the slots left to more valuable work when workers are full
-    pub(super) rank: u64,          // order in the queue: work per unit of worth
+    /// Where an earlier try may have run.
+    pub(super) prior: Option<PriorAttempt>,
+    /// Share of a worker's slots that it leaves to more valuable work when workers are full.
+    pub(super) yielded_share: f64,
+    /// Order in the queue, the lowest first: work per unit of worth.
+    pub(super) rank: u64,
+    /// Whether it has its final answer or needs none.
     pub(super) closed: bool,
+    /// Whether an answer is being streamed to the client.
     pub(super) streaming: bool,
+    /// Its attempts in the order in which they were sent.
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl Request {
+    /// Whether an attempt has not ended yet.
     pub(super) fn has_outstanding(&self) -> bool {
         self.attempts.iter().any(|a| a.outcome.is_none())
     }
