--- a/src/balance.rs
+++ b/src/balance.rs
@@ -17,19 +17,19 @@
 /// Running time at the fleet's mean pace per second of a hint, until finished jobs show it.
 const HINT_SCALE_PRIOR: f64 = 1.25;
 /// Wait before a suspect worker gets a trial request, in seconds.
-const TRIAL_S: f64 = 1.0;
+const TRIAL_WAIT_S: f64 = 1.0;
 /// Age of a worker's last report at which it is probed, where probes exist (the paper's psi), in seconds.
-const STALE_S: f64 = 2.0;
+const STALE_REPORT_S: f64 = 2.0;
 /// Share of the objective that an attempt may wait for its start before it is moved to another worker.
-const START_PATIENCE: f64 = 0.25;
+const START_PATIENCE_SHARE: f64 = 0.25;
 /// Half-life of failure rates and of the tenants' use of their shares, in seconds.
-const HALF_LIFE_S: f64 = 10.0;
+const RATE_HALF_LIFE_S: f64 = 10.0;
 /// Failure rate at which a worker counts as failing, or an error as caused by the request itself.
-const FAILING: f64 = 0.5;
+const FAILING_RATE: f64 = 0.5;
 /// A longer gap between events may be a stall of this dispatcher, in seconds.
-const STALL_S: f64 = 0.3;
+const STALL_GAP_S: f64 = 0.3;
 /// Cap on a value, as a multiple of the usual one: a single absurd value must not cost other requests.
-const OUTLIER: f64 = 64.0;
+const OUTLIER_FACTOR: f64 = 64.0;
 /// Token of the timer for the next pass over the queue. Smaller ones belong to requests and attempts.
 const DISPATCH_TIMER: u64 = 1 << 62;
 /// Token of the timer for the next probes.
@@ -48,8 +48,8 @@
     start: Time,
     /// Time of the current event.
     now: Time,
-    /// Time of the last event that followed a gap longer than `STALL_S`.
-    stalled_at: Time,
+    /// Time of the last event that followed a gap longer than `STALL_GAP_S`.
+    resumed_at: Time,
     /// `now` in seconds since the start.
     now_s: f64,
     /// Whether the first event has been handled.
@@ -79,26 +79,26 @@
     /// Running time at the fleet's mean pace per second of hint, and the number of samples.
     hint_scale: (f64, f64),
     /// Latency reported by a worker of mean pace, in seconds; zero until there is a report.
-    base_latency: f64,
+    base_latency_s: f64,
     /// Arrival times of requests within the retry budget's window.
     recent_requests: VecDeque<Time>,
     /// Times of retries within the retry budget's window.
     recent_retries: VecDeque<Time>,
     /// Share of recent attempts that started late, in the local and in remote zones.
-    late_starts: [f64; 2],
+    late_start_rates: [f64; 2],
     /// Share of recent attempts rejected as full.
     full_rate: f64,
     /// Lowest error rate of a worker in use.
-    base_errors: f64,
+    base_error_rate: f64,
     /// Estimated share of recent attempts whose answers were lost.
     loss_rate: f64,
     /// Share of errors that occurred again at another worker, and the time of its update in seconds since the
     /// start.
-    repeat_errors: (f64, f64),
+    repeat_error_rate: (f64, f64),
     /// Idle time that connections have been found to survive, in seconds.
     safe_idle_s: f64,
     /// Backoff before the next request for the list, in seconds; zero after a list has arrived.
-    list_backoff: f64,
+    list_backoff_s: f64,
     /// Whether a timer for the next request for the list is set.
     subscribe_pending: bool,
     /// While the watch is lost: when unseen list changes start to count as reported, and sending must stop.
@@ -117,7 +117,7 @@
             rng: fastrand::Rng::with_seed(seed),
             start: now,
             now,
-            stalled_at: now,
+            resumed_at: now,
             safe_idle_s: f64::INFINITY,
             mean_work: [0.1; 2],
             hint_scale: (HINT_SCALE_PRIOR, 10.0),
@@ -138,7 +138,8 @@
         for class in settings.classes.iter().skip(self.classes.len()) {
             self.mean_work[1] +=
                 (class.objective.secs() - self.mean_work[1]) / (self.classes.len() + 1) as f64;
-            self.classes.push(ClassStats { mean: (class.objective.secs().max(1e-3), 1.0), max_window: 0.0 });
+            self.classes
+                .push(ClassStats { mean_time: (class.objective.secs().max(1e-3), 1.0), max_window: 0.0 });
         }
         let limit = settings.max_attempts as usize;
         self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(limit));
@@ -147,13 +148,13 @@
 
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.stalled_at = if (now - self.now).secs() > STALL_S { now } else { self.stalled_at };
+        self.resumed_at = if (now - self.now).secs() > STALL_GAP_S { now } else { self.resumed_at };
         (self.now, self.now_s) = (now, (now - self.start).secs());
         if !std::mem::replace(&mut self.started, true) {
             // Requests the list where it must be requested, and starts probing after a random delay.
             self.list_lost(&Event::ListFailed);
             if self.settings.probing {
-                let wait = Span::from_secs(STALE_S * self.rng.f64());
+                let wait = Span::from_secs(STALE_REPORT_S * self.rng.f64());
                 self.outbox.push(Action::Timer(now + wait, PROBE_TIMER));
             }
         }
@@ -193,10 +194,11 @@
     }
 }
 
-/// Adds a sample, capped at `OUTLIER` times the mean, to a mean of at most 200 samples and their count.
+/// Adds a sample, capped at `OUTLIER_FACTOR` times the mean, to a mean over at most 200 samples. The second
+/// value is their number.
 fn update_mean((mean, count): &mut (f64, f64), sample: f64, min: f64) {
     *count = (*count + 1.0).min(200.0);
-    *mean = (*mean + (sample.min(*mean * OUTLIER) - *mean) / *count).max(min);
+    *mean = (*mean + (sample.min(*mean * OUTLIER_FACTOR) - *mean) / *count).max(min);
 }
 
 /// Returns the fraction of a count that is left after a time.
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Share of a mean job's stretch that a request may wait in the queue: later starts mostly finish late.
-const SLACK_SHARE: f64 = 0.3;
+const QUEUE_SLACK_SHARE: f64 = 0.3;
 /// Multiple of the median tenant's use of its share that is taken for a whole share.
 const SHARE_TOLERANCE: f64 = 1.5;
 
@@ -22,9 +22,9 @@
         stat.max_window = stat.max_window.max(window);
         let retry = if self.settings.marked_retries { arrival.retry } else { window > stat.max_window / 3.0 };
         let age = if retry { (stat.max_window - window).max(0.0) } else { 0.0 };
-        let (mean, scale) = (stat.mean.0, self.hint_scale.0);
-        let hint = estimate.secs().min(mean / scale * OUTLIER * OUTLIER);
-        let work = if hint > 0.0 { (hint * scale).max(mean / OUTLIER / OUTLIER) } else { mean };
+        let (mean, scale) = (stat.mean_time.0, self.hint_scale.0);
+        let hint = estimate.secs().min(mean / scale * OUTLIER_FACTOR * OUTLIER_FACTOR);
+        let work = if hint > 0.0 { (hint * scale).max(mean / OUTLIER_FACTOR / OUTLIER_FACTOR) } else { mean };
         let start_within = |share: f64| {
             let slack =
                 settings.objective.secs() + share * (settings.stretch - 1.0).max(0.0) * mean.max(work);
@@ -33,16 +33,17 @@
         // Where misses are weighed, a timely refusal is none. Unsafe work, which could only fail, waits on;
         // so does work that is paid for when late: cancelled, it would run for nothing and be retried.
         let late = settings.late_worth > 0.0 && self.settings.tail.weight == 0.0;
-        let start_by = if late { deadline } else { start_within(SLACK_SHARE) };
+        let start_by = if late { deadline } else { start_within(QUEUE_SLACK_SHARE) };
         let cancel_at = match settings.idempotency {
             _ if self.settings.tail.weight > 0.0 => start_by,
             idempotency if late || idempotency == Idempotency::Unsafe => deadline,
             _ => start_within(2.0),
         };
-        self.mean_work = self.mean_work.map(|m| m + 0.03 * ((mean * slots).min(m * OUTLIER) - m));
+        self.mean_work = self.mean_work.map(|m| m + 0.03 * ((mean * slots).min(m * OUTLIER_FACTOR) - m));
         let rank = (work * slots / settings.worth * 1e6) as u64;
         let by_work = self.settings.worth_by_work;
-        let value = |class: &Class, stat: &ClassStats| class.worth / if by_work { 1.0 } else { stat.mean.0 };
+        let value =
+            |class: &Class, stat: &ClassStats| class.worth / if by_work { 1.0 } else { stat.mean_time.0 };
         let all = self.settings.classes.iter().zip(&self.classes);
         let highest = all.map(|(class, stat)| value(class, stat)).fold(0.0, f64::max);
         let yielded_share = 1.0 - value(settings, &self.classes[c]) / slots / highest;
@@ -51,7 +52,8 @@
         (request.over_share, request.rank, request.yielded_share) = (over_share, rank, yielded_share);
         (request.hint, request.arrived_s, request.prior) = (hint, self.now_s - age, arrival.prior);
         request.max_attempts = self.settings.max_attempts as usize;
-        request.target = settings.objective.secs() + settings.stretch * if hint > 0.0 { hint } else { work };
+        request.target_s =
+            settings.objective.secs() + settings.stretch * if hint > 0.0 { hint } else { work };
         self.requests.insert(id, request);
         self.recent_requests.push_back(self.now);
         self.retry_allowed_at();
@@ -71,17 +73,18 @@
     fn exceeds_share(&mut self, t: usize, retry: bool) -> bool {
         let now = self.now_s;
         let uses = self.tenants.iter().filter(|(quota, ..)| *quota > 0.0);
-        let mut parts: Vec<f64> = uses.map(|(.., used, at)| used * decay(now - at, HALF_LIFE_S)).collect();
+        let mut parts: Vec<f64> =
+            uses.map(|(.., used, at)| used * decay(now - at, RATE_HALF_LIFE_S)).collect();
         parts.sort_by(f64::total_cmp);
         let median = parts.get(parts.len().saturating_sub(1) / 2).map_or(0.0, |part| part * SHARE_TOLERANCE);
         let part = if self.settings.dispatchers == 1 { 1.0 } else { median };
         let Some((quota, tokens, used, at)) = self.tenants.get_mut(t) else { return false };
         *tokens = (*tokens + *quota * part * (now - *at)).min((*quota * part * 2.0).max(1.0));
-        (*used, *at) = (*used * decay(now - *at, HALF_LIFE_S), now);
+        (*used, *at) = (*used * decay(now - *at, RATE_HALF_LIFE_S), now);
         let over = *tokens < 1.0 || *quota <= 0.0;
         if !retry && *quota > 0.0 {
             *tokens -= f64::from(u8::from(!over));
-            *used += std::f64::consts::LN_2 / HALF_LIFE_S / *quota;
+            *used += std::f64::consts::LN_2 / RATE_HALF_LIFE_S / *quota;
         }
         over
     }
@@ -112,12 +115,12 @@
     }
 
     /// Sends an attempt if it is still allowed. The only place that sends.
-    pub(super) fn send(&mut self, id: RequestId, i: usize) {
+    pub(super) fn send(&mut self, id: RequestId, worker: usize) {
         let early = self.attempt_allowed_at(id) != Some(self.now);
         let request = &self.requests[&id];
         let (number, class) = (request.attempts.len(), request.class);
         let blocked = early || !self.settings.parallel_attempts && request.has_outstanding();
-        if request.closed || blocked || number >= request.max_attempts || !self.is_allowed(request, i) {
+        if request.closed || blocked || number >= request.max_attempts || !self.is_allowed(request, worker) {
             return;
         }
         if number > 0 {
@@ -125,32 +128,39 @@
         }
         let request = self.requests.get_mut(&id).expect("looked up above");
         self.pending.remove(&(request.over_share, request.rank, id));
-        let w = &mut self.workers[i];
+        let w = &mut self.workers[worker];
         // Closes connections that may have been dropped unnoticed, with a larger margin for unsafe work.
         let unsafe_work = self.settings.classes[request.class].idempotency == Idempotency::Unsafe;
         let mut idle_s = w.idle_since.pop().map_or(0.0, |since| self.now_s - since);
         if idle_s > self.safe_idle_s / if unsafe_work { 2.0 } else { 1.0 } {
-            self.outbox.push(Action::CloseIdle(WorkerId(i as u32)));
+            self.outbox.push(Action::CloseIdle(WorkerId(worker as u32)));
             w.idle_since.clear();
             idle_s = 0.0;
         }
         // A light job uses up a token where few can be saved: else most would get their next ones together.
-        w.tokens.0 -= (request.work * request.slots / self.mean_work[1]).max(1.0 - w.tokens.1);
-        (w.load.slots, w.load.queued, w.returned) = (w.load.slots + request.slots, w.load.queued + 1, false);
-        w.trial_at = w.trial_at.map(|_| self.now_s + TRIAL_S);
-        let (worker, now) = (i, self.now);
-        request.attempts.push(Attempt { worker, sent_at: now, heard_at: now, idle_s, ..Attempt::default() });
-        self.outbox.push(Action::Send(id, WorkerId(i as u32)));
+        w.cold_tokens.0 -= (request.work * request.slots / self.mean_work[1]).max(1.0 - w.cold_tokens.1);
+        (w.load.slots, w.load.unstarted, w.back_from_drain) =
+            (w.load.slots + request.slots, w.load.unstarted + 1, false);
+        w.trial_at = w.trial_at.map(|_| self.now_s + TRIAL_WAIT_S);
+        let now = self.now;
+        request.attempts.push(Attempt {
+            worker,
+            sent_at: now,
+            last_update_at: now,
+            idle_s,
+            ..Attempt::default()
+        });
+        self.outbox.push(Action::Send(id, WorkerId(worker as u32)));
         if self.settings.reports_start {
-            let due = self.start_wait(i, idle_s, class);
+            let due = self.start_wait(worker, idle_s, class);
             self.outbox.push(Action::Timer(self.now + due, attempt_token(id, number)));
         }
     }
 
     /// Returns how long after a send the start update is due: the usual delay and a wait too short to matter.
-    pub(super) fn start_wait(&self, i: usize, idle_s: f64, class: usize) -> Span {
-        let usual = self.group(i).delays[usize::from(idle_s == 0.0)];
-        let tolerated = START_PATIENCE * 0.5 * self.settings.classes[class].objective.secs();
+    pub(super) fn start_wait(&self, worker: usize, idle_s: f64, class: usize) -> Span {
+        let usual = self.group(worker).start_delays[usize::from(idle_s == 0.0)];
+        let tolerated = START_PATIENCE_SHARE * 0.5 * self.settings.classes[class].objective.secs();
         Span::from_secs(usual * 1.5 + tolerated + self.settings.tick.secs())
     }
 
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -9,34 +9,34 @@
         let (class, slots, work, hinted) = (request.class, request.slots, request.work, request.hint > 0.0);
         let attempt = request.attempts.get_mut(number as usize).filter(|a| a.outcome.is_none());
         let Some(attempt) = attempt else { return };
-        attempt.heard_at = self.now;
-        let (i, idle, delay) = (attempt.worker, attempt.idle_s, (self.now - attempt.sent_at).secs());
+        attempt.last_update_at = self.now;
+        let (worker, idle, delay) = (attempt.worker, attempt.idle_s, (self.now - attempt.sent_at).secs());
         if update == AttemptUpdate::Started && attempt.started_at.is_none() {
             attempt.started_at = Some(self.now);
             self.record_idle(idle, true);
-            let due = self.start_wait(i, idle, class).secs();
-            let load = &mut self.workers[i].load;
-            (load.queued, load.running) = (load.queued - 1, load.running + slots);
+            let due = self.start_wait(worker, idle, class).secs();
+            let load = &mut self.workers[worker].load;
+            (load.unstarted, load.running_slots) = (load.unstarted - 1, load.running_slots + slots);
             (load.elapsed_rate, load.elapsed_offset) =
                 (load.elapsed_rate + 1.0 / work, load.elapsed_offset + self.now_s / work);
-            let usual = &mut self.groups[self.workers[i].group].delays[usize::from(idle == 0.0)];
+            let usual = &mut self.groups[self.workers[worker].group].start_delays[usize::from(idle == 0.0)];
             *usual += if delay < *usual { 0.3 } else { 0.03 } * (delay.min(*usual * 3.0) - *usual);
             // Slots count as present while starts are prompt, since they become free unnoticed.
-            let (capacity, prompt) = (self.group(i).slots, delay <= due);
+            let (capacity, prompt) = (self.group(worker).slots, delay <= due);
             let objective = self.settings.classes[class].objective.secs();
-            self.record_start(i, delay <= due + objective * START_PATIENCE);
-            let excess = self.queue_len(i) - capacity;
+            self.record_start(worker, delay <= due + objective * START_PATIENCE_SHARE);
+            let excess = self.queue_len(worker) - capacity;
             let change = if prompt { (0.5 * excess).clamp(0.0, 0.5) } else { 0.2 * excess.signum().min(0.0) };
             if !prompt {
-                self.observe_others(i, capacity - self.workers[i].load.slots);
+                self.observe_other_slots(worker, capacity - self.workers[worker].load.slots);
             }
-            self.groups[self.workers[i].group].slots = (capacity + change).max(1.0);
+            self.groups[self.workers[worker].group].slots = (capacity + change).max(1.0);
             if hinted && self.settings.progress.0 == 0 {
-                let due = self.now + self.overdue_after(i, work);
+                let due = self.now + self.overdue_after(worker, work);
                 self.outbox.push(Action::Timer(due, attempt_token(id, number as usize)));
             }
         }
-        (self.workers[i].heard_s, self.workers[i].trial_at) = (self.now_s, None);
+        (self.workers[worker].last_contact_at, self.workers[worker].trial_at) = (self.now_s, None);
     }
 
     /// Applies an attempt's outcome, then closes, retries, refuses or fails its request.
@@ -47,22 +47,24 @@
         let attempt = request.attempts.get_mut(number as usize).filter(|a| a.outcome.is_none());
         let Some(attempt) = attempt else { return };
         attempt.outcome = Some(outcome);
-        let (i, sent, start, idle) = (attempt.worker, attempt.sent_at, attempt.started_at, attempt.idle_s);
-        let due = self.start_wait(i, idle, class);
-        report.into_iter().for_each(|report| self.apply_report(i, report));
+        let (worker, sent, start, idle) =
+            (attempt.worker, attempt.sent_at, attempt.started_at, attempt.idle_s);
+        let due = self.start_wait(worker, idle, class);
+        report.into_iter().for_each(|report| self.apply_report(worker, report));
         self.full_rate += 0.1 * (f64::from(u8::from(outcome == Outcome::Full)) - self.full_rate);
         if start.is_none() && outcome != Outcome::Moot {
-            self.record_start(i, false);
+            self.record_start(worker, false);
         }
-        let repeat_rate = self.repeat_errors.0 * decay(self.now_s - self.repeat_errors.1, HALF_LIFE_S);
+        let repeat_rate =
+            self.repeat_error_rate.0 * decay(self.now_s - self.repeat_error_rate.1, RATE_HALF_LIFE_S);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
-            self.workers[i].idle_since.push(self.now_s);
-            (self.workers[i].heard_s, self.workers[i].trial_at) = (self.now_s, None);
+            self.workers[worker].idle_since.push(self.now_s);
+            (self.workers[worker].last_contact_at, self.workers[worker].trial_at) = (self.now_s, None);
         }
         // Without this job's own time: else each long job would make its worker look slow.
         self.remove_load(id, number as usize);
-        let slowness = self.slowness(i);
-        let w = &mut self.workers[i];
+        let slowness = self.slowness(worker);
+        let w = &mut self.workers[worker];
         match outcome {
             Outcome::Ok => {
                 self.loss_rate -= 0.02 * self.loss_rate;
@@ -71,32 +73,36 @@
                     (self.now - at).secs()
                 });
                 w.transfer_s += 0.1 * (total - ran - w.transfer_s);
-                self.add_result(i, &[0, class + 1], 0.0);
-                update_mean(&mut self.classes[class].mean, ran / slowness, 1e-4);
+                self.record_result(worker, &[0, class + 1], 0.0);
+                update_mean(&mut self.classes[class].mean_time, ran / slowness, 1e-4);
                 if hint > 0.0 {
                     update_mean(&mut self.hint_scale, ran / slowness / hint, 0.01);
                 }
-                self.record_pace(i, ran / work);
+                self.record_pace(worker, ran / work);
             }
-            Outcome::Error => self.add_result(i, &[0, class + 1], 1.0),
-            Outcome::Full => self.observe_others(i, self.group(i).slots * 1.5),
+            Outcome::Error => self.record_result(worker, &[0, class + 1], 1.0),
+            Outcome::Full => self.observe_other_slots(worker, self.group(worker).slots * 1.5),
             // A reset at once after idle time is blamed on the idle connection, not on the worker.
             Outcome::Reset if idle > 0.0 && start.is_none() && self.now < sent + due => {
                 self.record_idle(idle, false)
             }
-            Outcome::ConnectFailed | Outcome::Reset => w.trial_at = w.trial_at.or(Some(self.now_s + TRIAL_S)),
-            Outcome::Timeout | Outcome::Cancelled if start.is_none() => self.add_result(i, &[class + 1], 1.0),
+            Outcome::ConnectFailed | Outcome::Reset => {
+                w.trial_at = w.trial_at.or(Some(self.now_s + TRIAL_WAIT_S))
+            }
+            Outcome::Timeout | Outcome::Cancelled if start.is_none() => {
+                self.record_result(worker, &[class + 1], 1.0)
+            }
             Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
         }
         let request = &self.requests[&id];
-        let erred = |a: &Attempt| a.outcome == Some(Outcome::Error) && a.worker != i;
+        let erred = |a: &Attempt| a.outcome == Some(Outcome::Error) && a.worker != worker;
         let repeated = f64::from(u8::from(outcome == Outcome::Error));
         if matches!(outcome, Outcome::Ok | Outcome::Error) && request.attempts.iter().any(erred) {
-            self.repeat_errors = (repeat_rate + 0.3 * (repeated - repeat_rate), self.now_s);
+            self.repeat_error_rate = (repeat_rate + 0.3 * (repeated - repeat_rate), self.now_s);
         }
         // An error likely to occur elsewhere too is the request's own; so is a reset right after its start.
         let crashed = outcome == Outcome::Reset && start.is_some_and(|start| self.now < start + due);
-        let own = crashed || outcome == Outcome::Error && repeat_rate > FAILING;
+        let own = crashed || outcome == Outcome::Error && repeat_rate > FAILING_RATE;
         if closed || request.closed || outcome == Outcome::Ok {
             self.close(id);
         } else if !request.has_outstanding() {
--- a/src/balance/retries.rs
+++ b/src/balance/retries.rs
@@ -5,7 +5,7 @@
 /// Multiple of the usual running time after which an attempt is overdue: where answers get lost, elsewhere.
 const OVERDUE_FACTORS: (f64, f64) = (1.4, 3.0);
 /// Share of lost answers above which the shorter of these applies.
-const MAX_LOSS_RATE: f64 = 0.3;
+const HIGH_LOSS_RATE: f64 = 0.3;
 /// Retry budget where none is stated: cancelled work may run on. May be too small when many workers hang.
 const DEFAULT_BUDGET: Budget = Budget { floor: 5.0, ratio: 0.1, window: Span(10_000_000_000) };
 
@@ -38,11 +38,11 @@
     }
 
     /// Whether the rules and the class's idempotency allow this worker at all.
-    pub(super) fn is_allowed(&self, request: &Request, i: usize) -> bool {
-        let entry = &self.entries[i];
+    pub(super) fn is_allowed(&self, request: &Request, worker: usize) -> bool {
+        let entry = &self.entries[worker];
         let class = &self.settings.classes[request.class];
-        let fits = self.usable(i) && class.kind.is_none_or(|kind| kind == entry.kind);
-        if !fits || self.warm_up(i) < 1.0 && self.workers[i].tokens.0 < 1.0 {
+        let fits = self.usable(worker) && class.kind.is_none_or(|kind| kind == entry.kind);
+        if !fits || self.warm_up_fraction(worker) < 1.0 && self.workers[worker].cold_tokens.0 < 1.0 {
             return false;
         }
         let Some(first) = self.may_have_run(request) else { return true };
@@ -85,33 +85,38 @@
         let (class, token) = (request.class, attempt_token(id, number));
         let open = |a: &&Attempt| a.outcome.is_none() && !a.cancelled;
         let Some(attempt) = request.attempts.get(number).filter(open) else { return };
-        let (i, started, progress) = (attempt.worker, attempt.started_at.is_some(), self.settings.progress);
+        let (worker, started, progress) =
+            (attempt.worker, attempt.started_at.is_some(), self.settings.progress);
         if started && progress.0 == 0 {
             return self.check_running(id, number);
         }
-        let due = if started { Span(progress.0 * 8 / 5) } else { self.start_wait(i, attempt.idle_s, class) };
-        let (heard, newest) = (attempt.heard_at, number + 1 == request.attempts.len());
+        let due =
+            if started { Span(progress.0 * 8 / 5) } else { self.start_wait(worker, attempt.idle_s, class) };
+        let (heard, newest) = (attempt.last_update_at, number + 1 == request.attempts.len());
         // Guards against blame for updates that came during an own stall; after a quiet period costs a tick.
-        let until = if self.stalled_at == self.now { self.now + self.settings.tick } else { heard + due };
+        let until = if self.resumed_at == self.now { self.now + self.settings.tick } else { heard + due };
         if self.now < until {
             self.outbox.push(Action::Timer(until, token));
             return;
         }
         let objective = self.settings.classes[request.class].objective.secs();
-        let patience = if started { due } else { Span::from_secs(objective * START_PATIENCE).max(due) };
-        if self.now_s - self.workers[i].heard_s > due.secs().max(0.5) && (self.now - heard).secs() > 0.5 {
+        let patience = if started { due } else { Span::from_secs(objective * START_PATIENCE_SHARE).max(due) };
+        if self.now_s - self.workers[worker].last_contact_at > due.secs().max(0.5)
+            && (self.now - heard).secs() > 0.5
+        {
             // Guards against every kind of silence; may harm where workers pause, which trial requests limit.
-            self.workers[i].trial_at.get_or_insert(self.now_s + TRIAL_S);
+            self.workers[worker].trial_at.get_or_insert(self.now_s + TRIAL_WAIT_S);
         }
         if !started {
             // No start update in time: no slot is free, whoever holds them.
-            let (capacity, w) = (self.group(i).slots, &mut self.workers[i]);
-            (w.others, w.others_at) = (w.others.max(capacity - w.load.running), self.now_s);
+            let (capacity, w) = (self.group(worker).slots, &mut self.workers[worker]);
+            (w.other_slots, w.other_slots_at) =
+                (w.other_slots.max(capacity - w.load.running_slots), self.now_s);
         }
         if newest
             && self.now >= heard + patience
             && self.retry_allowed_at() == Some(self.now)
-            && let Some(other) = self.draw_worker(id, Some(i))
+            && let Some(other) = self.draw_worker(id, Some(worker))
             && number + 1 < self.requests[&id].max_attempts
         {
             // A waiting attempt is moved; a running one gets a duplicate, since it may still answer.
@@ -134,9 +139,9 @@
     }
 
     /// Returns how long after its start an attempt is overdue: sooner if answers were lost recently.
-    pub(super) fn overdue_after(&self, i: usize, work: f64) -> Span {
-        let patience = if self.loss_rate > MAX_LOSS_RATE { OVERDUE_FACTORS.0 } else { OVERDUE_FACTORS.1 };
-        Span::from_secs(work * self.pace(i, 0.0) * patience + self.settings.tick.secs())
+    pub(super) fn overdue_after(&self, worker: usize, work: f64) -> Span {
+        let patience = if self.loss_rate > HIGH_LOSS_RATE { OVERDUE_FACTORS.0 } else { OVERDUE_FACTORS.1 };
+        Span::from_secs(work * self.pace(worker, 0.0) * patience + self.settings.tick.secs())
     }
 
     /// Checks a running attempt that is overdue: a duplicate may finish in time. Guards against lost answers;
@@ -145,15 +150,15 @@
         let request = &self.requests[&id];
         let (work, newest) = (request.work, number + 1 == request.attempts.len());
         let attempt = &request.attempts[number];
-        let (i, start) = (attempt.worker, attempt.started_at.unwrap_or(self.now));
-        let due = start + self.overdue_after(i, work);
+        let (worker, start) = (attempt.worker, attempt.started_at.unwrap_or(self.now));
+        let due = start + self.overdue_after(worker, work);
         if self.now < due {
             self.outbox.push(Action::Timer(due, attempt_token(id, number)));
             return;
         }
         if !attempt.overdue {
             self.loss_rate += 0.1 * (1.0 - self.loss_rate);
-            let lost = self.loss_rate > MAX_LOSS_RATE;
+            let lost = self.loss_rate > HIGH_LOSS_RATE;
             if lost {
                 self.remove_load(id, number);
             }
@@ -164,10 +169,10 @@
             && self.settings.parallel_attempts
             && number + 1 < self.requests[&id].max_attempts
             && self.retry_allowed_at() == Some(self.now)
-            && let Some(other) = self.draw_worker(id, Some(i))
+            && let Some(other) = self.draw_worker(id, Some(worker))
         {
             self.send(id, other);
-        } else if newest && self.now_s < self.requests[&id].arrived_s + self.requests[&id].target {
+        } else if newest && self.now_s < self.requests[&id].arrived_s + self.requests[&id].target_s {
             let wait = Span::from_secs(work * 0.25).max(self.settings.tick);
             self.outbox.push(Action::Timer(self.now + wait, attempt_token(id, number)));
         }
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -9,9 +9,9 @@
     /// Slots of all outstanding attempts, except those whose answers are presumed lost.
     pub(super) slots: f64,
     /// Slots of those that have started.
-    pub(super) running: f64,
+    pub(super) running_slots: f64,
     /// Number of those not known to have started.
-    pub(super) queued: u32,
+    pub(super) unstarted: u32,
     /// Sum of `1 / work` over the running jobs, per second; `elapsed_rate * now - elapsed_offset` is their
     /// elapsed time, in units of their expected running times.
     pub(super) elapsed_rate: f64,
@@ -28,13 +28,13 @@
     /// each with the time at which it held.
     pub(super) failure_rates: Vec<(f64, f64)>,
     /// Slots that other dispatchers took when last observed.
-    pub(super) others: f64,
+    pub(super) other_slots: f64,
     /// Time of that observation.
-    pub(super) others_at: f64,
+    pub(super) other_slots_at: f64,
     /// Index into the balancer's groups.
     pub(super) group: usize,
     /// Number of ended jobs, decayed since they ended.
-    pub(super) jobs: f64,
+    pub(super) ended_jobs: f64,
     /// Sum of the times of these jobs in units of their expected running times, decayed likewise.
     pub(super) ratio_sum: f64,
     /// Time up to which `jobs` and `ratio_sum` are decayed.
@@ -46,21 +46,21 @@
     /// Mean time of an attempt beyond the job itself, there and back, in seconds (`CD`).
     pub(super) transfer_s: f64,
     /// Time of the last answer or update.
-    pub(super) heard_s: f64,
+    pub(super) last_contact_at: f64,
     /// For each idle connection the time since which it has been idle, the newest last.
     pub(super) idle_since: Vec<f64>,
     /// Set while the worker is suspect: when it may get a trial request.
     pub(super) trial_at: Option<f64>,
     /// Cold-start tokens, each good for a mean job, and how many of them can be saved up.
-    pub(super) tokens: (f64, f64),
+    pub(super) cold_tokens: (f64, f64),
     /// Time of the last refill of the tokens.
-    pub(super) tokens_at: f64,
+    pub(super) cold_tokens_at: f64,
     /// Whether a list has named it.
     pub(super) listed: bool,
     /// Whether a list has called it draining since its process last started.
     pub(super) drained: bool,
     /// Whether it is back from a drain and nothing has been sent to it since.
-    pub(super) returned: bool,
+    pub(super) back_from_drain: bool,
 }
 
 /// Estimates shared by the workers of one machine kind in one zone: slots, pace and queues.
@@ -69,25 +69,25 @@
     /// The machine kind and the zone.
     pub(super) key: (KindId, ZoneId),
     /// Usual time from a send to its start update, in seconds: over an open and over a new connection.
-    pub(super) delays: [f64; 2],
+    pub(super) start_delays: [f64; 2],
     /// Estimated slots of each worker.
     pub(super) slots: f64,
     /// Most slots that a worker has reported free.
-    pub(super) max_free: f64,
+    pub(super) max_free_slots: f64,
     /// Number of ended jobs, decayed with each further one.
-    pub(super) jobs: f64,
+    pub(super) ended_jobs: f64,
     /// Sum of the times of these jobs in units of their expected running times, decayed likewise.
     pub(super) ratio_sum: f64,
     /// Slots that other dispatchers usually take at a worker.
-    pub(super) others: f64,
+    pub(super) other_slots: f64,
     /// Time of the last observation of these.
-    pub(super) others_at: f64,
+    pub(super) other_slots_at: f64,
 }
 
 /// Estimates of a class of request.
 pub(super) struct ClassStats {
     /// Mean running time at the fleet's mean pace, in seconds, and the number of samples.
-    pub(super) mean: (f64, f64),
+    pub(super) mean_time: (f64, f64),
     /// Longest time from an arrival to its deadline, in seconds.
     pub(super) max_window: f64,
 }
@@ -102,7 +102,7 @@
     /// When its start update arrived.
     pub(super) started_at: Option<Time>,
     /// When its last update arrived; until one does, when it was sent.
-    pub(super) heard_at: Time,
+    pub(super) last_update_at: Time,
     /// How long its connection had been idle, in seconds; zero for a new one.
     pub(super) idle_s: f64,
     /// How it ended; `None` while it is outstanding.
@@ -129,7 +129,7 @@
     /// When its first try arrived, by estimate.
     pub(super) arrived_s: f64,
     /// Seconds from its arrival within which an answer is in time.
-    pub(super) target: f64,
+    pub(super) target_s: f64,
     /// When the client stops waiting.
     pub(super) deadline: Time,
     /// Most attempts that it may make.
