--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,5 +1,6 @@
-//! The decisions of the dispatcher; their types, events and actions are in `src/interface/`. `price` computes
-//! `C = (QL + 1) * PT + CD` for each worker, `draw_worker` picks a ready one in proportion to `1 / C`.
+//! The decisions of the dispatcher: the balancer's state and its handling of events. `price` computes the
+//! price `C = (QL + 1) * PT + CD` of each worker, and `draw_worker` picks a ready one in proportion to
+//! `1 / C`. The types of settings, events and actions are in `src/interface/`.
 
 use crate::interface::*;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -14,21 +15,23 @@
 
 use state::*;
 
-/// Running time at the fleet's mean pace per second of a hint, until finished jobs show it.
+/// Running time at the fleet's mean pace per second of hint, until finished jobs show the actual ratio.
 const HINT_SCALE_PRIOR: f64 = 1.25;
 /// Wait before a suspect worker gets a trial request, in seconds.
 const TRIAL_WAIT_S: f64 = 1.0;
-/// Age of a worker's last report at which it is probed, where probes exist (the paper's psi), in seconds.
+/// Age of a worker's last report, in seconds, beyond which it is probed where probes exist (the paper's psi).
 const STALE_REPORT_S: f64 = 2.0;
 /// Share of the objective that an attempt may wait for its start before it is moved to another worker.
 const START_PATIENCE_SHARE: f64 = 0.25;
-/// Half-life of failure rates and of the tenants' use of their shares, in seconds.
+/// Half-life, in seconds, of failure rates, of the rate of repeated errors and of the tenants' use of their
+/// quotas.
 const RATE_HALF_LIFE_S: f64 = 10.0;
-/// Failure rate at which a worker counts as failing, or an error as caused by the request itself.
+/// Failure rate from which a worker counts as failing, and rate of repeated errors above which an error
+/// counts as caused by the request itself.
 const FAILING_RATE: f64 = 0.5;
-/// A longer gap between events may be a stall of this dispatcher, in seconds.
+/// Gap between events, in seconds, beyond which this dispatcher may have stalled.
 const STALL_GAP_S: f64 = 0.3;
-/// Cap on a value, as a multiple of the usual one: a single absurd value must not cost other requests.
+/// Cap on a sample, as a multiple of the usual value: a single absurd value must not harm other requests.
 const OUTLIER_FACTOR: f64 = 64.0;
 /// Token of the timer for the next pass over the queue. Smaller ones belong to requests and attempts.
 const DISPATCH_TIMER: u64 = 1 << 62;
@@ -127,13 +130,15 @@
         Ok(balancer)
     }
 
-    /// Adopts settings: classes and tenants keep their numbers; open requests keep a lower limit of attempts.
+    /// Adopts settings. Classes and tenants keep their numbers; open requests keep the lower of the old and
+    /// the new limit of attempts.
     fn apply_settings(&mut self, mut settings: Settings) {
         settings.classes.extend(self.settings.classes.iter().skip(settings.classes.len()).cloned());
-        for (t, tenant) in settings.tenants.iter().enumerate() {
-            let (quota, part) = (tenant.quota_per_s, 1.0 / f64::from(settings.dispatchers));
-            self.tenants.resize(self.tenants.len().max(t + 1), (quota, quota * part, part, self.now_s));
-            self.tenants[t].0 = quota;
+        for (index, tenant) in settings.tenants.iter().enumerate() {
+            let quota = tenant.quota_per_s;
+            let part = 1.0 / f64::from(settings.dispatchers);
+            self.tenants.resize(self.tenants.len().max(index + 1), (quota, quota * part, part, self.now_s));
+            self.tenants[index].0 = quota;
         }
         for class in settings.classes.iter().skip(self.classes.len()) {
             self.mean_work[1] +=
@@ -141,17 +146,18 @@
             self.classes
                 .push(ClassStats { mean_time: (class.objective.secs().max(1e-3), 1.0), max_window: 0.0 });
         }
-        let limit = settings.max_attempts as usize;
-        self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(limit));
+        let max_attempts = settings.max_attempts as usize;
+        self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(max_attempts));
         self.settings = settings;
     }
 
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.resumed_at = if (now - self.now).secs() > STALL_GAP_S { now } else { self.resumed_at };
-        (self.now, self.now_s) = (now, (now - self.start).secs());
+        self.now = now;
+        self.now_s = (now - self.start).secs();
         if !std::mem::replace(&mut self.started, true) {
-            // Requests the list where it must be requested, and starts probing after a random delay.
+            // Requests the list where it is not pushed, and starts probing after a random delay.
             self.list_lost(&Event::ListFailed);
             if self.settings.probing {
                 let wait = Span::from_secs(STALE_REPORT_S * self.rng.f64());
@@ -172,10 +178,11 @@
             }
             Event::AttemptUpdate(id, attempt, update) => self.attempt_updated(id, attempt, update),
             Event::Ended { .. } => self.attempt_ended(event),
-            Event::Probed(WorkerId(i), ok, report) => {
-                if let Some(w) = self.workers.get_mut(i as usize) {
+            Event::Probed(WorkerId(worker), ok, report) => {
+                // A suspect worker that answers a probe may get its trial request at once.
+                if let Some(w) = self.workers.get_mut(worker as usize) {
                     w.trial_at = w.trial_at.map(|trial| if ok { trial.min(self.now_s) } else { trial });
-                    report.into_iter().for_each(|report| self.apply_report(i as usize, report));
+                    report.into_iter().for_each(|report| self.apply_report(worker as usize, report));
                 }
             }
             Event::SettingsChanged(settings) => self.apply_settings(*settings),
@@ -194,19 +201,20 @@
     }
 }
 
-/// Adds a sample, capped at `OUTLIER_FACTOR` times the mean, to a mean over at most 200 samples. The second
-/// value is their number.
-fn update_mean((mean, count): &mut (f64, f64), sample: f64, min: f64) {
+/// Adds a sample, capped at `OUTLIER_FACTOR` times the mean, to a mean and its number of samples. The number
+/// stops at 200, so that later samples keep a weight of 1/200; the mean does not fall below `min_mean`.
+fn update_mean((mean, count): &mut (f64, f64), sample: f64, min_mean: f64) {
     *count = (*count + 1.0).min(200.0);
-    *mean = (*mean + (sample.min(*mean * OUTLIER_FACTOR) - *mean) / *count).max(min);
+    *mean = (*mean + (sample.min(*mean * OUTLIER_FACTOR) - *mean) / *count).max(min_mean);
 }
 
-/// Returns the fraction of a count that is left after a time.
-fn decay(age: f64, half_life: f64) -> f64 {
-    (-age / half_life).exp2()
+/// Returns the fraction that is left of a value of this age; both times are in seconds.
+fn decay(age_s: f64, half_life_s: f64) -> f64 {
+    (-age_s / half_life_s).exp2()
 }
 
-/// Returns the token of an attempt's timer; the token of a request's own timer has 0 in the low byte.
+/// Returns the token of an attempt's timer: the request's id, and in the low byte the attempt's number plus
+/// one. The token of a request's own timer has 0 there.
 fn attempt_token(id: RequestId, number: usize) -> u64 {
     u64::from(id.0) << 8 | (number as u64 + 1)
 }
