--- a/src/balance.rs
+++ b/src/balance.rs
@@ -144,7 +144,7 @@
             self.mean_work[1] +=
                 (class.objective.secs() - self.mean_work[1]) / (self.classes.len() + 1) as f64;
             self.classes
-                .push(ClassStats { mean_time: (class.objective.secs().max(1e-3), 1.0), max_window: 0.0 });
+                .push(ClassStats { mean_time: (class.objective.secs().max(1e-3), 1.0), max_window_s: 0.0 });
         }
         let max_attempts = settings.max_attempts as usize;
         self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(max_attempts));
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -23,10 +23,10 @@
         // A retry carries the first try's deadline, so its age is what its window lacks of the longest one.
         // Where retries are not marked, a window that lacks two thirds or more counts as a first try's.
         let window_s = (deadline - self.now).min(settings.deadline).secs();
-        stats.max_window = stats.max_window.max(window_s);
+        stats.max_window_s = stats.max_window_s.max(window_s);
         let is_retry =
-            if self.settings.marked_retries { arrival.retry } else { window_s > stats.max_window / 3.0 };
-        let age_s = if is_retry { (stats.max_window - window_s).max(0.0) } else { 0.0 };
+            if self.settings.marked_retries { arrival.retry } else { window_s > stats.max_window_s / 3.0 };
+        let age_s = if is_retry { (stats.max_window_s - window_s).max(0.0) } else { 0.0 };
         let mean_time = stats.mean_time.0;
         let hint_scale = self.hint_scale.0;
         let hint = estimate.secs().min(mean_time / hint_scale * OUTLIER_FACTOR * OUTLIER_FACTOR);
--- a/src/balance/price.rs
+++ b/src/balance/price.rs
@@ -81,7 +81,8 @@
     }
 
     /// Returns the price in seconds: `C = (QL + 1) * PT + CD`, divided by the probability that the attempt
-    /// succeeds. `CD` includes the penalties for crossing zones and for a new connection.
+    /// succeeds. `QL` is the queue length in slots, `PT` the job's expected running time there, and `CD` the
+    /// time there and back plus the penalties for crossing zones and for a new connection.
     fn price(
         &self,
         request: &Request,
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -89,7 +89,7 @@
     /// Mean running time at the fleet's mean pace, in seconds, and the number of samples.
     pub(super) mean_time: (f64, f64),
     /// Longest time from an arrival to its deadline, in seconds.
-    pub(super) max_window: f64,
+    pub(super) max_window_s: f64,
 }
 
 /// An attempt of a request.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -17,7 +17,7 @@
     for file in &files {
         assert!(policy.contains(&format!("\"{file}\"")), "{file} is not named under policy");
         let text = fs::read_to_string(file).expect("it can be read");
-        assert!(text.starts_with("//! "), "{file} does not say what it owns");
+        assert!(text.starts_with("//! "), "{file} does not begin with its purpose");
         assert!(text.lines().count() <= 250, "{file} is too long");
         for (number, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= 110, "{file}: line {} is too wide", number + 1);
