--- a/node/src/core/lists.rs
+++ b/node/src/core/lists.rs
@@ -1,13 +1,13 @@
-//! Lists of runners. It owns what each source last said of its runners, and where they stand, and turns
-//! names into the module's numbers. It must never judge a runner, nor let one source's list speak for
-//! another's.
+//! Runner lists. Keeps the last entries of each source, maps names to the balancer's numbers, and merges
+//! full lists so that one source's list never removes another source's runners.
 
 use super::{Core, ListedRunner, Source};
 use sablerun as sr;
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    pub(super) fn list(
+    /// Applies a list or a change of one, and passes the merged result to the balancer.
+    pub(super) fn handle_list(
         &mut self,
         now: sr::Time,
         source: Source,
@@ -18,7 +18,7 @@
         for runner in listed {
             let worker = self.tables.workers.intern(&runner.name);
             let zone = self.tables.zones.intern(&runner.zone);
-            self.places.insert(worker, keys::Place { zone, cell: runner.cell });
+            self.locations.insert(worker, keys::Place { zone, cell: runner.cell });
             changed.push(sr::ListEntry {
                 worker: sr::WorkerId(worker),
                 zone: sr::ZoneId(zone),
@@ -33,19 +33,20 @@
             for entry in &changed {
                 let key = (source, entry.worker.0);
                 match entry.state {
-                    sr::WorkerState::Gone => self.lists.remove(&key),
-                    _ => self.lists.insert(key, entry.clone()),
+                    sr::WorkerState::Gone => self.list_entries.remove(&key),
+                    _ => self.list_entries.insert(key, entry.clone()),
                 };
             }
         } else {
-            // Whole for its source alone: the others' runners stay on the list.
-            self.lists.retain(|(from, _), _| *from != source);
-            self.lists.extend(changed.iter().map(|entry| ((source, entry.worker.0), entry.clone())));
-            changed
-                .extend(self.lists.iter().filter(|((from, _), _)| *from != source).map(|(_, e)| e.clone()));
+            // The list is full for its source only: the other sources' runners are added to it.
+            self.list_entries.retain(|(from, _), _| *from != source);
+            self.list_entries.extend(changed.iter().map(|entry| ((source, entry.worker.0), entry.clone())));
+            changed.extend(
+                self.list_entries.iter().filter(|((from, _), _)| *from != source).map(|(_, e)| e.clone()),
+            );
         }
-        self.count_runners();
-        let changed = self.as_told(changed);
-        self.tell(now, sr::Event::List(kind, changed));
+        self.update_listed_runners();
+        let changed = self.with_disabled_as_draining(changed);
+        self.notify(now, sr::Event::List(kind, changed));
     }
 }
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -1,58 +1,57 @@
-//! Runs the core: hands it inputs one at a time, carries out the effects it asks for, wakes it when a
-//! timer is due and leads the program from its start to its end. It must never change the dispatcher's
-//! state except through [`Core::step`], nor speak a wire: that is for what stands in `net`.
+//! Runs the core: feeds it inputs one at a time, applies its effects, wakes it when a timer is due and holds
+//! the shutdown state. The dispatcher's state changes only through [`Core::step`]; protocols are in `net`.
 
 mod clock;
 mod job;
 mod links;
 mod observer;
-mod telling;
-mod waiting;
+mod reporting;
+mod tickets;
 
 pub use clock::{Clock, unix_now};
 pub use job::Job;
 pub use links::{DigestSource, Link, RunnerListSource};
 pub use observer::Observer;
-pub use waiting::ClientGuard;
+pub use tickets::ClientGuard;
 
 use crate::core::{Answer, AttemptId, Core, Effect, Input, Ticket};
 use crate::limits::Limits;
 use crate::metrics::{AnswerKind, ClassMetrics, Metrics};
+use reporting::log_input;
 use sablerun as sr;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use telling::tell_of;
+use tickets::Waiter;
 use tokio::sync::Notify;
-use waiting::Waiting;
 
-/// The core and what surrounds it.
+/// The core with its links, timers, waiting clients and metrics.
 pub struct Runtime {
     pub limits: Limits,
     pub clock: Clock,
     core: RefCell<Core<Rc<Job>>>,
-    inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
+    pending_inputs: RefCell<VecDeque<Input<Rc<Job>>>>,
     stepping: Cell<bool>,
     links: RefCell<Vec<Rc<dyn Link>>>,
-    roster: RefCell<Option<Rc<dyn RunnerListSource>>>,
-    digests: RefCell<Option<Rc<dyn DigestSource>>>,
-    waiting: RefCell<HashMap<Ticket, Waiting>>,
-    /// The figures that the operators' door reads.
+    list_source: RefCell<Option<Rc<dyn RunnerListSource>>>,
+    digest_source: RefCell<Option<Rc<dyn DigestSource>>>,
+    waiters: RefCell<HashMap<Ticket, Waiter>>,
+    /// The metrics that the admin socket serves.
     pub metrics: Arc<Metrics>,
-    /// The counters of each class, by number: found without the registry's lock.
-    classes: RefCell<Vec<Arc<ClassMetrics>>>,
-    /// Operators' calls under way, and what came of the last.
-    handed: RefCell<Option<(u64, Result<(), &'static str>)>>,
-    tickets: Cell<u64>,
-    /// When the runners were last counted.
-    counted: Cell<Instant>,
-    retimed: Notify,
+    /// The counters of each class, by number, for access without the registry's lock.
+    metrics_by_class: RefCell<Vec<Arc<ClassMetrics>>>,
+    /// The number and the result of the last operator's call.
+    admin_result: RefCell<Option<(u64, Result<(), &'static str>)>>,
+    /// The last number given to a ticket or an operator's call.
+    last_ticket: Cell<u64>,
+    runners_counted_at: Cell<Instant>,
+    timer_changed: Notify,
     stopping: Cell<bool>,
     /// The longest deadline of the settings in force.
-    longest: Cell<Duration>,
-    /// Who looks on: nobody, but where the lab plays dispatchers in its own process.
+    longest_deadline: Cell<Duration>,
+    /// Set only where the lab runs dispatchers in its own process.
     observer: OnceCell<Rc<dyn Observer>>,
 }
 
@@ -62,96 +61,97 @@
             limits,
             clock,
             core: RefCell::new(core),
-            inputs: RefCell::default(),
+            pending_inputs: RefCell::default(),
             stepping: Cell::new(false),
             links: RefCell::default(),
-            roster: RefCell::default(),
-            digests: RefCell::default(),
-            waiting: RefCell::default(),
+            list_source: RefCell::default(),
+            digest_source: RefCell::default(),
+            waiters: RefCell::default(),
             metrics: Arc::new(Metrics::default()),
-            classes: RefCell::default(),
-            handed: RefCell::default(),
-            tickets: Cell::new(0),
-            counted: Cell::new(Instant::now()),
-            retimed: Notify::new(),
+            metrics_by_class: RefCell::default(),
+            admin_result: RefCell::default(),
+            last_ticket: Cell::new(0),
+            runners_counted_at: Cell::new(Instant::now()),
+            timer_changed: Notify::new(),
             stopping: Cell::new(false),
-            longest: Cell::default(),
+            longest_deadline: Cell::default(),
             observer: OnceCell::new(),
         })
     }
 
-    /// Adds a way to runners; earlier ones are asked first.
+    /// Adds a connector to runners. Earlier ones take precedence.
     pub fn add_link(&self, link: Rc<dyn Link>) {
         self.links.borrow_mut().push(link);
     }
 
-    pub fn set_list_source(&self, roster: Rc<dyn RunnerListSource>) {
-        *self.roster.borrow_mut() = Some(roster);
+    pub fn set_list_source(&self, source: Rc<dyn RunnerListSource>) {
+        *self.list_source.borrow_mut() = Some(source);
     }
 
-    /// Follows a digest with a frame each `every`, which is believed for so long after each.
-    pub fn set_digest_source(&self, digests: Rc<dyn DigestSource>, every: sr::Span, silent: sr::Span) {
-        self.core.borrow_mut().follow_digest(every, silent);
-        *self.digests.borrow_mut() = Some(digests);
+    /// Follows a digest with a frame every `interval`, which is fresh for `max_silence` after each.
+    pub fn set_digest_source(&self, source: Rc<dyn DigestSource>, interval: sr::Span, max_silence: sr::Span) {
+        self.core.borrow_mut().follow_digest(interval, max_silence);
+        *self.digest_source.borrow_mut() = Some(source);
     }
 
+    /// Disables or enables a runner manually. `from_peer`: the other process of an upgrade accepted the call.
     ///
     /// # Errors
     ///
-    /// Why it was turned down: the runner was never listed.
-    pub fn set_disabled(&self, runner: String, out: bool, shared: bool) -> Result<(), &'static str> {
-        self.tickets.set(self.tickets.get() + 1);
-        let call = self.tickets.get();
-        self.feed(Input::SetDisabled { call, runner, disabled: out, from_peer: shared });
-        match self.handed.borrow_mut().take() {
-            Some((said, result)) if said == call => result,
+    /// The runner was never listed.
+    pub fn set_disabled(&self, runner: String, disabled: bool, from_peer: bool) -> Result<(), &'static str> {
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        let call = self.last_ticket.get();
+        self.feed(Input::SetDisabled { call, runner, disabled, from_peer });
+        match self.admin_result.borrow_mut().take() {
+            Some((number, result)) if number == call => result,
             _ => Err("the call was not carried out: call again"),
         }
     }
 
-    /// Hands the core an input. What happens while its effects are carried out waits its turn.
+    /// Feeds the core an input and applies the effects. Inputs that arrive meanwhile are queued.
     pub fn feed(&self, input: Input<Rc<Job>>) {
-        self.inputs.borrow_mut().push_back(input);
+        self.pending_inputs.borrow_mut().push_back(input);
         if self.stepping.replace(true) {
             return;
         }
         let before = self.core.borrow().next_timer();
-        let mut tells_of_runners = false;
+        let mut runners_changed = false;
         loop {
-            let next = self.inputs.borrow_mut().pop_front();
+            let next = self.pending_inputs.borrow_mut().pop_front();
             let Some(input) = next else { break };
-            tells_of_runners |= matches!(input, Input::List(..) | Input::SetDisabled { .. });
-            tell_of(&input);
+            runners_changed |= matches!(input, Input::List(..) | Input::SetDisabled { .. });
+            log_input(&input);
             let effects = self.step(input);
             for effect in effects {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
         }
         self.stepping.set(false);
         Metrics::set(&self.metrics.current, self.core.borrow().open());
-        if tells_of_runners || self.counted.get().elapsed() > self.limits.runner_count_interval {
+        if runners_changed || self.runners_counted_at.get().elapsed() > self.limits.runner_count_interval {
             self.update_runner_metrics();
         }
         if self.core.borrow().next_timer() != before {
-            self.retimed.notify_one();
+            self.timer_changed.notify_one();
         }
     }
 
-    fn carry_out(&self, effect: Effect<Rc<Job>>) {
+    fn apply_effect(&self, effect: Effect<Rc<Job>>) {
         match effect {
             Effect::Answer(ticket, answer) => {
                 if let Answer::Refused(_) | Answer::Failed(_) = answer {
                     log::debug!("ticket {}: {answer:?}", ticket.0);
                 }
-                let waiting = self.waiting.borrow_mut().remove(&ticket);
-                if let Some((waiting, figures)) = waiting {
-                    figures.count(match answer {
+                let waiter = self.waiters.borrow_mut().remove(&ticket);
+                if let Some((sender, metrics)) = waiter {
+                    metrics.count(match answer {
                         Answer::Served(_) => AnswerKind::Answered,
                         Answer::Refused(_) => AnswerKind::Deferred,
                         Answer::Failed(_) | Answer::Unfit(_) => AnswerKind::Errored,
                     });
-                    // Fails only if the client has just left: nobody is owed anything then.
-                    let _ = waiting.send(answer);
+                    // Fails only if the client has just disconnected.
+                    let _ = sender.send(answer);
                 }
             }
             Effect::Start { attempt, id, runner, job, deadline } => match self.link_to(&runner) {
@@ -172,11 +172,11 @@
             }
             Effect::Forget(attempt) => self.links.borrow().iter().for_each(|link| link.forget(attempt)),
             Effect::Subscribe(at) | Effect::Fetch(at) => {
-                let roster = self.roster.borrow().clone();
+                let source = self.list_source.borrow().clone();
                 log::debug!("call for the list at {at}");
-                match (roster, effect) {
-                    (Some(roster), Effect::Subscribe(_)) => roster.subscribe(at),
-                    (Some(roster), _) => roster.fetch(at),
+                match (source, effect) {
+                    (Some(source), Effect::Subscribe(_)) => source.subscribe(at),
+                    (Some(source), _) => source.fetch(at),
                     (None, _) => {}
                 }
             }
@@ -188,10 +188,10 @@
                 }
             }
             Effect::FetchDigest => {
-                let digests = self.digests.borrow().clone();
-                digests.into_iter().for_each(|digests| digests.fetch_full());
+                let source = self.digest_source.borrow().clone();
+                source.into_iter().for_each(|source| source.fetch_full());
             }
-            Effect::AdminResult { call, result } => *self.handed.borrow_mut() = Some((call, result)),
+            Effect::AdminResult { call, result } => *self.admin_result.borrow_mut() = Some((call, result)),
             Effect::CloseIdle(runner) => {
                 if let Some(link) = self.link_to(&runner) {
                     link.close_idle(&runner);
@@ -204,47 +204,47 @@
         self.links.borrow().iter().find(|link| link.reaches(runner)).cloned()
     }
 
-    /// Wakes the core whenever a timer is due; never ends.
+    /// Wakes the core whenever a timer is due; never returns.
     pub async fn run_timers(&self) {
         loop {
             let due = self.core.borrow().next_timer();
             match due {
-                None => self.retimed.notified().await,
+                None => self.timer_changed.notified().await,
                 Some(at) => {
                     let sleep = tokio::time::sleep_until(self.clock.instant(at).into());
                     tokio::select! {
                         () = sleep => self.feed(Input::TimerDue),
-                        () = self.retimed.notified() => {}
+                        () = self.timer_changed.notified() => {}
                     }
                 }
             }
         }
     }
 
-    /// Whether the program has been told to end: connections are not kept any more.
+    /// Whether shutdown has begun: connections are no longer kept open.
     pub fn stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Begins the end: connections close after their answers.
+    /// Begins the shutdown: connections close after their answers.
     pub fn begin_shutdown(&self) {
         self.stopping.set(true);
     }
 
-    /// Requests that have no final answer yet.
+    /// The number of tickets without a final answer.
     pub fn open(&self) -> usize {
         self.core.borrow().open()
     }
 
-    /// Settings that are in force from now on: how long the program may take to end goes by them.
+    /// Records the longest deadline of the settings in force, which determines the shutdown times.
     pub fn update_longest_deadline(&self, settings: &sr::Settings) {
         let longest = settings.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
-        self.longest.set(Duration::from_nanos(longest));
+        self.longest_deadline.set(Duration::from_nanos(longest));
     }
 
-    /// For how long clients find everything as usual after SIGTERM, and when whatever is unanswered is
-    /// answered and the program ends, by the settings in force now.
+    /// For how long clients are served as usual after SIGTERM, and after how long the program answers what is
+    /// unanswered and ends, under the settings in force now.
     pub fn shutdown_times(&self) -> (Duration, Duration) {
-        self.limits.shutdown_times(self.longest.get())
+        self.limits.shutdown_times(self.longest_deadline.get())
     }
 }
