--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -166,8 +166,8 @@
             w.idle_since.clear();
             idle_s = 0.0;
         }
-        // Where few tokens can be saved up, a light job costs a whole one: otherwise most dispatchers would
-        // get their next tokens at the same time.
+        // A light job costs at least the part of a token that cannot be saved up: otherwise most dispatchers
+        // would get their next tokens at the same time.
         w.cold_tokens.0 -= (request.work * request.slots / self.mean_work[1]).max(1.0 - w.cold_tokens.1);
         w.load.slots += request.slots;
         w.load.unstarted += 1;
