--- a/node/src/net/admin.rs
+++ b/node/src/net/admin.rs
@@ -1,7 +1,8 @@
 //! The admin socket: a line protocol on the address that `admin_addr` (or `$NODE_ADMIN_ADDR`) names, with
 //! one command a connection and one answer that begins with `OK` or `ERR`. Runs on a thread of its own, so
 //! that it answers in time however busy the serving thread is: metrics are read from counters, and only
-//! commands that change the dispatcher's state go to the serving thread.
+//! commands that change the dispatcher's state go to the serving thread. Decides nothing itself, and waits
+//! for no caller longer than [`AdminLimits`] allow.
 
 use crate::metrics::Metrics;
 use std::io;
@@ -178,7 +179,7 @@
         let end_of_stream = got == 0;
         let chunk = &chunk[..got];
         let newline = chunk.iter().position(|b| *b == b'\n');
-        line.extend_from_slice(&chunk[..newline.map_or(chunk.len(), |at| at + 1)]);
+        line.extend_from_slice(&chunk[..newline.map_or(chunk.len(), |index| index + 1)]);
         let max_bytes =
             if line.starts_with(b"TOLD ") { limits.max_call_back_bytes } else { limits.max_line_bytes };
         if line.len() > max_bytes {
--- a/node/src/net/callbacks.rs
+++ b/node/src/net/callbacks.rs
@@ -1,5 +1,6 @@
 //! The format of runners' call-backs, and their conversion to inputs of the core. They arrive on the front's
-//! address or, forwarded by the other process of an upgrade, on the admin socket.
+//! address or, forwarded by the other process of an upgrade, on the admin socket. This module neither
+//! answers the runner nor forwards a call-back.
 
 use crate::core::{AttemptEnd, Input};
 use crate::net::runners::{load_object, result_bytes};
@@ -10,8 +11,10 @@
 #[derive(serde::Deserialize)]
 pub struct CallBack {
     pub id: String,
+    /// The runner's name.
     from: String,
     state: String,
+    /// The part of the job that is done, from 0 to 1.
     #[serde(default)]
     share: Option<f64>,
     #[serde(default)]
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -1,5 +1,6 @@
 //! The subscriber of a load digest: reads a stream of frames from the publisher that the operator's file
-//! names, and reconnects with a backoff. Frames are handed to the core unjudged.
+//! names, and reconnects with a backoff. Frames go to the core, which judges them; nothing is sent to the
+//! publisher but the request for the stream.
 
 use crate::core::Input;
 use crate::net::runners::ConnectionPool;
@@ -33,15 +34,15 @@
     /// Subscribes to the digest that the operator's file names, until the program ends.
     pub fn start(runtime: &Rc<Runtime>, section: &operator::Digest) {
         let pool = ConnectionPool::new(&runtime.limits);
-        let digest = Rc::new(DigestSubscriber {
+        let subscriber = Rc::new(DigestSubscriber {
             runtime: Rc::downgrade(runtime),
             client: pool.client(&runtime.limits),
             address: section.at,
             silence_timeout: section.silent(),
             resync: Notify::new(),
         });
-        runtime.set_digest_source(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
-        actix_rt::spawn(async move { digest.run().await });
+        runtime.set_digest_source(subscriber.clone(), section.every(), sr::Span::from_secs(section.silent_s));
+        actix_rt::spawn(async move { subscriber.run().await });
     }
 
     /// Reads the stream and reconnects when it ends; never returns.
--- a/node/src/net/discovery.rs
+++ b/node/src/net/discovery.rs
@@ -208,9 +208,9 @@
 }
 
 impl RunnerListSource for DiscoveryClient {
-    fn subscribe(&self, at: SocketAddr) {
+    fn subscribe(&self, address: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
-        let address_changed = self.address.replace(Some(at)).is_some_and(|previous| previous != at);
+        let address_changed = self.address.replace(Some(address)).is_some_and(|previous| previous != address);
         if address_changed {
             // Another address may count versions differently, so the whole list is asked for.
             self.version.set(0);
@@ -219,7 +219,7 @@
         let number = self.watch_number.get() + 1;
         self.watch_number.set(number);
         let task = actix_rt::spawn(async move {
-            if let Err(error) = this.read_watch(at, number).await {
+            if let Err(error) = this.read_watch(address, number).await {
                 if this.watch_number.get() == number {
                     this.report_failure("watch", error);
                 } else {
@@ -233,10 +233,10 @@
         previous_watches.retain(|watch| !watch.is_finished());
     }
 
-    fn fetch(&self, at: SocketAddr) {
+    fn fetch(&self, address: SocketAddr) {
         let Some(this) = self.this.upgrade() else { return };
         actix_rt::spawn(async move {
-            if let Err(error) = this.fetch_list(at).await {
+            if let Err(error) = this.fetch_list(address).await {
                 this.report_failure("call", error);
             }
         });
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -30,6 +30,7 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaktoryConfig {
+    /// The address for Faktory clients and workers.
     pub listen: SocketAddr,
     /// No TLS and no identities; must be stated explicitly.
     #[serde(default)]
@@ -41,14 +42,18 @@
     /// The zone and machine kind of workers whose identity names none.
     pub zone: Option<String>,
     pub kind: Option<String>,
+    /// How long a FETCH waits for a job, in milliseconds.
     #[serde(default = "default_fetch_wait")]
     pub fetch_wait_ms: u64,
+    /// Seconds after a worker's last BEAT, ACK, FAIL or new connection until it is removed.
     #[serde(default = "default_beat_limit")]
     pub beat_limit_s: f64,
     /// Most jobs that may be queued for a worker's next FETCH.
     #[serde(default = "default_queue")]
     pub queue_per_worker: usize,
+    /// The files for TLS, which is required unless `plaintext` is set.
     pub tls: Option<spiffe::Files>,
+    /// The identities that may connect over TLS.
     #[serde(default)]
     pub identity: Vec<Identity>,
     #[serde(default)]
@@ -231,6 +236,7 @@
 
 /// A worker process, identified by its wid.
 struct Worker {
+    /// The name of the peer that registered it.
     peer: String,
     zone: String,
     kind: String,
@@ -238,7 +244,9 @@
     /// The numbers of its connections; those of an earlier process with the same wid are not among them.
     connections: HashSet<u64>,
     last_beat: Instant,
+    /// It reported that it takes no more jobs.
     quiet: bool,
+    /// The queues that its FETCHes have named so far.
     queues: HashSet<String>,
     parked: VecDeque<ParkedFetch>,
     queued: VecDeque<QueuedJob>,
@@ -265,9 +273,11 @@
     password: Option<String>,
     identities: Option<Arc<Identities>>,
     workers: RefCell<HashMap<String, Worker>>,
+    /// The wid and the jid of each attempt.
     attempts: RefCell<HashMap<AttemptId, (String, Rc<str>)>>,
     connections: Cell<usize>,
     connection_closed: Notify,
+    /// The number of the latest connection.
     last_connection: Cell<u64>,
     command_count: Cell<u64>,
 }
@@ -690,7 +700,7 @@
     ) -> Result<Result<(), String>, Disconnect> {
         let (ticket, mut answer) = self.runtime.ticket(arrival.class);
         arrival.ticket = ticket;
-        let _here = ClientGuard::new(&self.runtime, ticket);
+        let _client_guard = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(arrival));
         let answer = loop {
             tokio::select! {
@@ -724,13 +734,13 @@
         }
         let (delivery, mut delivered) = oneshot::channel();
         self.park_fetch(wid, ParkedFetch { connection, queues, delivery });
-        let end = tokio::time::Instant::now() + Duration::from_millis(self.config.fetch_wait_ms);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(self.config.fetch_wait_ms);
         let job = loop {
             tokio::select! {
                 biased;
                 job = &mut delivered => break job.ok(),
                 more = transport.fill() => more?,
-                () = tokio::time::sleep_until(end) => {
+                () = tokio::time::sleep_until(deadline) => {
                     if let Some(worker) = self.workers.borrow_mut().get_mut(wid) {
                         worker.parked.retain(|parked| parked.connection != connection);
                     }
@@ -862,7 +872,7 @@
     fn disconnect(&self, wid: &str, connection: Option<u64>) {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(wid) else { return };
-        // A connection of an earlier process with this wid may end only now.
+        // A connection of an earlier process with this wid may end only now, which must not affect this one.
         if connection.is_some_and(|connection| !worker.connections.remove(&connection)) {
             return;
         }
@@ -1082,14 +1092,14 @@
     async fn read_rest_of_line(&mut self) -> Result<String, Disconnect> {
         let mut searched = 0;
         loop {
-            if let Some(at) = self.buffer[searched..].iter().position(|&b| b == b'\n') {
-                if searched + at > self.max_frame_bytes {
+            if let Some(newline) = self.buffer[searched..].iter().position(|&b| b == b'\n') {
+                if searched + newline > self.max_frame_bytes {
                     return Err(Disconnect::WithError(format!(
                         "MALFORMED a frame is longer than {} bytes",
                         self.max_frame_bytes
                     )));
                 }
-                let line = self.buffer.split_to(searched + at);
+                let line = self.buffer.split_to(searched + newline);
                 self.buffer.advance(1);
                 let line = line.strip_suffix(b"\r").unwrap_or(&line);
                 let line = std::str::from_utf8(line)
--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -94,14 +94,14 @@
             let handling = service.call((stream, Some(peer)));
             let number = self.next_number.get();
             self.next_number.set(number + 1);
-            let (front, handled) = (self.clone(), connection.clone());
+            let (front, task_connection) = (self.clone(), connection.clone());
             let task = actix_rt::spawn(async move {
                 let linger = front.runtime.limits.linger_timeout;
                 let table_entry = TableEntry { front, number };
                 if let Err(e) = handling.await {
                     log::debug!("connection from {peer}: {e}");
                 }
-                let closing = handled.closing_stream.borrow_mut().take();
+                let closing = task_connection.closing_stream.borrow_mut().take();
                 if let Some(stream) = closing {
                     lingering_close(stream, linger).await;
                 }
--- a/node/src/net/platform/closing.rs
+++ b/node/src/net/platform/closing.rs
@@ -1,5 +1,5 @@
 //! Closing of connections: eviction when the table is full, and all of them at shutdown. Never closes a
-//! connection over a request that may have been read.
+//! connection whose request has no response yet, nor an idle one over a request that waits to be read.
 
 use crate::net::platform::Front;
 use crate::net::platform::connection::{Connection, Traffic};
@@ -47,8 +47,9 @@
         used * 10 >= self.runtime.limits.max_client_connections * 9
     }
 
-    /// Shuts down gracefully. On a shared socket the successor accepts new connections at once. Otherwise
-    /// the platform needs a grace period to notice, in which this process serves as usual.
+    /// Shuts down gracefully. On a shared socket the successor accepts new connections at once, and
+    /// clients' idle connections close at once, so that clients reconnect to it. Otherwise the platform needs a
+    /// grace period to notice, in which clients are served as usual.
     pub async fn shut_down(&self, mut shutdown: Shutdown, shared: bool) {
         let started = Instant::now();
         if shared {
--- a/node/src/net/platform/connection.rs
+++ b/node/src/net/platform/connection.rs
@@ -68,8 +68,8 @@
 
     /// The order of eviction when there is no room: by rank, and within a rank the longest idle first.
     /// None if it can't be evicted now. Keeps bad clients from locking others out with silent connections.
-    /// A normal client's first request may take a while, so none is evicted before `silent`, and
-    /// connections of runners go last.
+    /// Could harm a normal client whose first request takes longer than `evict_silent_after`, so a silent
+    /// connection is never evicted sooner. Connections of runners go last.
     pub fn eviction_rank(&self, limits: &Limits) -> Option<(u8, Instant)> {
         let (last_activity, idle) = (self.last_activity.get(), self.last_activity.get().elapsed());
         let (rank, min_idle) = match (self.lifecycle.get().stage(), self.traffic.get()) {
--- a/node/src/net/platform/lifecycle.rs
+++ b/node/src/net/platform/lifecycle.rs
@@ -28,7 +28,8 @@
 pub enum CloseMode {
     /// After the current request, or one that may be on its way.
     Graceful,
-    /// Now if no request has begun: the connection is evicted to make room.
+    /// Now, to make room for others: a partial head is rejected, and a response that the client does not read
+    /// is cut off. Only a request whose whole head was read is still answered.
     Immediate,
 }
 
--- a/node/src/net/platform/reply.rs
+++ b/node/src/net/platform/reply.rs
@@ -9,6 +9,7 @@
     pub status: StatusCode,
     pub header: Option<(HeaderName, String)>,
     pub body: Bytes,
+    /// Whether the connection closes after it.
     pub close: bool,
 }
 
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -1,6 +1,6 @@
-//! Requests from their heads to their answers: clients' jobs, runners' call-backs and the ready check. It
-//! owns which is which and reads their bodies. It must never give an answer of its own to a request it
-//! has handed to the core, nor keep one back.
+//! Handles the requests on the front's address: clients' jobs, runners' call-backs and the readiness check.
+//! A job that was handed to the core gets the core's answer as soon as it is made, and none
+//! that was decided here.
 
 use crate::core::{Answer, Arrival, Input};
 use crate::metrics::AnswerKind;
@@ -89,7 +89,7 @@
         let (ticket, answer) = self.runtime.ticket(head.class);
         // Dropped with this future when the connection closes before the answer, which reports the client
         // gone.
-        let _here = ClientGuard::new(&self.runtime, ticket);
+        let _client_guard = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(Arrival {
             ticket,
             id: head.id.into(),
@@ -112,8 +112,8 @@
                 }
                 reply
             }
-            Ok(Answer::Failed(why)) => Reply::new(StatusCode::BAD_GATEWAY, why),
-            Ok(Answer::Unfit(why)) => Reply::new(StatusCode::UNPROCESSABLE_ENTITY, why),
+            Ok(Answer::Failed(reason)) => Reply::new(StatusCode::BAD_GATEWAY, reason),
+            Ok(Answer::Unfit(reason)) => Reply::new(StatusCode::UNPROCESSABLE_ENTITY, reason),
             Err(_) => Reply::new(StatusCode::INTERNAL_SERVER_ERROR, "no answer was made"),
         }
     }
@@ -154,7 +154,8 @@
         tokio::time::timeout(limits.body_timeout, reading).await.unwrap_or(Err(too_slow))
     }
 
-    /// Handles a runner's call-back, which is acknowledged whether or not its job is known.
+    /// Handles a runner's call-back, which is acknowledged at once whether or not its job is known. Only if
+    /// the other process of an upgrade may have the job and does not answer is the runner asked to repeat it.
     async fn handle_call_back(&self, request: &mut Request) -> Reply {
         let body = match self.read_body(request).await {
             Ok(body) => body,
--- a/node/src/net/platform/shutdown.rs
+++ b/node/src/net/platform/shutdown.rs
@@ -11,7 +11,7 @@
     Serving,
     /// Idle connections close, and each response is its connection's last.
     Draining,
-    /// Nothing is active; connections still queued on the listener are accepted.
+    /// Nothing is active, or the deadline has passed; connections still queued on the listener are accepted.
     FinalAccept,
     /// Nothing is accepted any more, and the remaining connections close.
     Closing,
--- a/node/src/net/platform/stream.rs
+++ b/node/src/net/platform/stream.rs
@@ -1,6 +1,6 @@
 //! The stream between an accepted socket and actix-http. Limits how much a client may send and how slowly,
 //! passes one message at a time to the parser, and notices a client's close behind unread input. Responses
-//! pass through unchanged.
+//! pass through unchanged and undelayed; the only ones made here are to a head that is too long or too slow.
 
 use crate::limits::Limits;
 use crate::net::platform::connection::Connection;
@@ -93,7 +93,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads once, as tokio's cached readiness may be out of date. Returns whether there was anything.
+    /// Reads once with a direct system call, as tokio's cached readiness may be out of date. Returns whether
+    /// there was anything.
     fn try_fill(&mut self) -> io::Result<bool> {
         let mut scratch = [0; CHUNK_BYTES];
         match (&*SockRef::from(&*self.stream()?)).read(&mut scratch) {
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -60,12 +60,12 @@
     pub fn new(runtime: &Rc<Runtime>) -> Rc<RunnerLink> {
         let pool = ConnectionPool::new(&runtime.limits);
         let client = pool.client(&runtime.limits);
-        let swept = pool.clone();
+        let swept_pool = pool.clone();
         let interval = runtime.limits.sweep_interval;
         actix_rt::spawn(async move {
             loop {
                 tokio::time::sleep(interval).await;
-                swept.close_idle(swept.idle_timeout, |_| true);
+                swept_pool.close_idle(swept_pool.idle_timeout, |_| true);
             }
         });
         Rc::new_cyclic(|this| RunnerLink {
@@ -162,9 +162,9 @@
     fn start(&self, attempt: AttemptId, id: Rc<str>, runner: &str, job: Rc<Job>, deadline: sr::Time) {
         let (Some(this), Some(runtime)) = (self.this.upgrade(), self.runtime.upgrade()) else { return };
         let Some(&address) = self.addresses.borrow().get(runner) else { return };
-        let asked = Rc::downgrade(&runtime);
+        let weak_runtime = Rc::downgrade(&runtime);
         let permit =
-            SendPermit::new(move || asked.upgrade().is_some_and(|runtime| runtime.may_begin(attempt)));
+            SendPermit::new(move || weak_runtime.upgrade().is_some_and(|runtime| runtime.may_begin(attempt)));
         let accepted = Rc::new(Cell::new(false));
         let key = (id.clone(), runner.to_owned());
         let (task_permit, task_accepted) = (permit.clone(), accepted.clone());
--- a/node/src/net/runners/pool.rs
+++ b/node/src/net/runners/pool.rs
@@ -1,5 +1,5 @@
 //! The pool of connections to runners. Opens connections within the limit and closes idle ones; never one
-//! on which a response is awaited.
+//! on which a response is awaited. Reads and writes nothing by itself.
 
 use crate::limits::Limits;
 use actix_codec::{AsyncRead, AsyncWrite, ReadBuf};
--- a/node/src/net/socket_activation.rs
+++ b/node/src/net/socket_activation.rs
@@ -1,6 +1,7 @@
 //! Socket activation: takes over the clients' listening socket on the descriptor that `$NODE_LISTEN_FD`
 //! names, so that a process that replaces another serves the same listen queue without a gap. Holds the
 //! program's only unsafe code, which takes a descriptor by its number, and the checks that make it sound.
+//! Never binds a socket, and never closes or takes another descriptor.
 
 use std::os::fd::{FromRawFd, RawFd};
 use tokio::net::TcpListener;
@@ -39,8 +40,8 @@
 
 fn check(socket: &socket2::Socket) -> Result<(), String> {
     let kind = socket.r#type().map_err(|e| format!("is not a socket ({e})"))?;
-    let at = socket.local_addr().map_err(|e| format!("has no address ({e})"))?;
-    if kind != socket2::Type::STREAM || at.as_socket().is_none() {
+    let address = socket.local_addr().map_err(|e| format!("has no address ({e})"))?;
+    if kind != socket2::Type::STREAM || address.as_socket().is_none() {
         return Err("is not a TCP socket".to_owned());
     }
     match socket.is_listener() {
--- a/node/src/publisher/config.rs
+++ b/node/src/publisher/config.rs
@@ -13,25 +13,25 @@
     /// The address that serves the runner list.
     pub discovery: SocketAddr,
     /// Interval at which each runner is polled and a frame is sent, in milliseconds.
-    #[serde(default = "second")]
+    #[serde(default = "default_every_ms")]
     pub every_ms: u64,
     /// Bytes per second sent to a follower, not counting names and the full digest at the start.
-    #[serde(default = "bytes")]
+    #[serde(default = "default_bytes_per_s")]
     pub bytes_per_s: usize,
     /// The load fields that are published, by the names under which runners report them.
-    #[serde(default = "fields")]
+    #[serde(default = "default_fields")]
     pub fields: Vec<String>,
 }
 
-fn second() -> u64 {
+fn default_every_ms() -> u64 {
     1000
 }
 
-fn bytes() -> usize {
+fn default_bytes_per_s() -> usize {
     4000
 }
 
-fn fields() -> Vec<String> {
+fn default_fields() -> Vec<String> {
     ["outstanding", "x0", "recent_ms", "errors_per_s"].map(str::to_owned).to_vec()
 }
 
--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -1,4 +1,5 @@
-//! Watches discovery's runner list and polls each listed runner's load once per interval.
+//! Watches discovery's runner list and polls each listed runner's load once per interval. Passes
+//! the answers on as they are.
 
 use super::Shared;
 use crate::net::hosts::Hosts;
@@ -33,26 +34,27 @@
 pub(super) async fn follow(shared: Rc<Shared>) {
     let (runners, mut seq) = (Runners::default(), 0);
     loop {
-        let why = watch(&shared, &runners, &mut seq).await.err().unwrap_or_else(|| "ended".to_owned());
-        log::warn!("discovery: watch failed: {why}");
+        let reason = watch(&shared, &runners, &mut seq).await.err().unwrap_or_else(|| "ended".to_owned());
+        log::warn!("discovery: watch failed: {reason}");
         tokio::time::sleep(MAX_RETRY_DELAY.mul_f64(fastrand::f64())).await;
     }
 }
 
+/// Applies the lists of one watch until it ends.
 async fn watch(shared: &Rc<Shared>, runners: &Runners, seq: &mut u64) -> Result<(), String> {
-    let at = shared.config.discovery;
-    let url = format!("http://{at}/discovery/hosts?stream=1&index={seq}");
-    let request = Client::default().get(url).address(at).no_decompress().force_close().send();
+    let address = shared.config.discovery;
+    let url = format!("http://{address}/discovery/hosts?stream=1&index={seq}");
+    let request = Client::default().get(url).address(address).no_decompress().force_close().send();
     let silent = |_| "silent".to_owned();
     let mut response =
         timeout(WATCH_SILENCE_TIMEOUT, request).await.map_err(silent)?.map_err(|e| e.to_string())?;
     if response.status() != StatusCode::OK {
         return Err(format!("answered {}", response.status()));
     }
-    let mut objects = JsonStream::new(MAX_LINE_BYTES);
+    let mut stream = JsonStream::new(MAX_LINE_BYTES);
     while let Some(bytes) = timeout(WATCH_SILENCE_TIMEOUT, response.next()).await.map_err(silent)? {
-        objects.extend(&bytes.map_err(|e| e.to_string())?);
-        while let Some(hosts) = objects.next::<Hosts>()? {
+        stream.extend(&bytes.map_err(|e| e.to_string())?);
+        while let Some(hosts) = stream.next::<Hosts>()? {
             *seq = hosts.seq;
             apply_list(shared, runners, hosts);
         }
@@ -60,6 +62,7 @@
     Ok(())
 }
 
+/// Updates the runners' addresses from a list, and starts to poll those that are new.
 fn apply_list(shared: &Rc<Shared>, runners: &Runners, hosts: Hosts) {
     let mut known = runners.borrow_mut();
     if hosts.whole {
@@ -67,8 +70,8 @@
     }
     for host in hosts.hosts {
         match host.dial.parse() {
-            Ok(at) if host.health != "left" => {
-                if known.insert(host.host.clone(), at).is_none() {
+            Ok(address) if host.health != "left" => {
+                if known.insert(host.host.clone(), address).is_none() {
                     actix_rt::spawn(poll_runner(shared.clone(), runners.clone(), host.host));
                 }
             }
@@ -87,8 +90,8 @@
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         rounds.tick().await;
-        let Some(at) = runners.borrow().get(&runner).copied() else { return };
-        let report = timeout(ANSWER_TIMEOUT, fetch_load(&client, at)).await.ok().flatten();
+        let Some(address) = runners.borrow().get(&runner).copied() else { return };
+        let report = timeout(ANSWER_TIMEOUT, fetch_load(&client, address)).await.ok().flatten();
         let value =
             |name: &String| report.as_ref().and_then(|report| report.get(name)?.as_f64()).unwrap_or(0.0);
         let values = shared.config.fields.iter().map(value).collect();
@@ -97,9 +100,10 @@
     }
 }
 
-async fn fetch_load(client: &Client, at: SocketAddr) -> Option<Map<String, Value>> {
-    let url = format!("http://{at}/metrics/load");
-    let mut response = client.get(url).address(at).no_decompress().send().await.ok()?;
+/// Returns a runner's load report, or None without a valid answer.
+async fn fetch_load(client: &Client, address: SocketAddr) -> Option<Map<String, Value>> {
+    let url = format!("http://{address}/metrics/load");
+    let mut response = client.get(url).address(address).no_decompress().send().await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
