--- a/node/src/net/admin.rs
+++ b/node/src/net/admin.rs
@@ -25,7 +25,7 @@
     Disable(String),
     /// Sends work to this runner again.
     Enable(String),
-    /// A runner's call-back in JSON, forwarded by the other process of an upgrade.
+    /// `TOLD`: a runner's call-back in JSON, forwarded by the other process of an upgrade.
     CallBack(String),
 }
 
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -2,7 +2,7 @@
 //! workers fetch from. It is a front and a link at once: a PUSH becomes a request with one final answer,
 //! and an attempt goes to the worker that the balancer chose, whether or not that is parked in FETCH. Never
 //! chooses a worker, repeats a job or hands one to a quiet worker. An ACK or FAIL of a finished job changes
-//! nothing.
+//! nothing. In the protocol a `wid` is the id of a worker process, and a `jid` that of a job.
 
 use crate::core::{Answer, Arrival, AttemptEnd, AttemptId, Input, ListedRunner, Source};
 use crate::limits::Limits;
@@ -352,9 +352,9 @@
                 match acceptor {
                     None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
-                        let handshake =
+                        let tls_handshake =
                             tokio::time::timeout(front.runtime.limits.head_timeout, acceptor.accept(stream));
-                        match handshake.await {
+                        match tls_handshake.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
                                 Ok(peer) => front.serve_connection(stream, peer).await,
                                 Err(reason) => log::warn!("faktory: peer at {from} refused: {reason}"),
@@ -382,7 +382,7 @@
             let silent_wids: Vec<_> =
                 workers.iter().filter(|(_, w)| silent(w)).map(|(wid, _)| wid.clone()).collect();
             drop(workers);
-            // A cancelled job counts as running only for as long as its worker may reserve it.
+            // A cancelled job counts as running only for the time for which its worker may go on with it.
             let expired = |job: &RunningJob| {
                 job.attempt.is_none() && job.started.elapsed() > self.runtime.limits.orphan_timeout
             };
--- a/node/src/net/peers.rs
+++ b/node/src/net/peers.rs
@@ -11,7 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// The prefix of the names of the registry's files.
+/// The prefix of the names of the registry's files, which both processes of an upgrade must read alike. The
+/// admin socket was called the operators' door when it was chosen.
 const FILE_PREFIX: &str = "sablerun-door-";
 
 /// The result of forwarding a call-back.
--- a/node/src/net/spiffe.rs
+++ b/node/src/net/spiffe.rs
@@ -1,7 +1,8 @@
-//! Identities of the Faktory front: TLS with X.509-SVIDs, as the SPIFFE ID and X509-SVID specifications
-//! define them. Holds the program's own SVID and one trust bundle for each trust domain, reloads them when
-//! their files change, and identifies peers by SPIFFE ID. A peer's ID is its only URI SAN, and a bundle
-//! verifies peers of its own trust domain only. What an identity may do is decided in `faktory`.
+//! Identities of the Faktory front: TLS with X.509-SVIDs (certificates that carry a SPIFFE ID), as the SPIFFE
+//! ID and X509-SVID specifications define them. Holds the program's own SVID and one trust bundle for each
+//! trust domain, reloads them when their files change, and identifies peers by SPIFFE ID. A peer's ID is its
+//! only URI SAN, and a bundle verifies peers of its own trust domain only. What an identity may do is decided
+//! in `faktory`.
 
 use rustls::DigitallySignedStruct;
 use rustls::SignatureScheme;
