--- a/digest/src/publisher.rs
+++ b/digest/src/publisher.rs
@@ -73,7 +73,7 @@
         self.published_names = self.names.len();
         let (mut budget, mut chosen) = (max_bytes.saturating_sub(FRAME_OVERHEAD_BYTES), Vec::new());
         for (_, number, _) in changed {
-            // The distance, the mask and each code may take two bytes each.
+            // Counts three bytes for the distance and the mask together, and two for each code.
             let bytes = 3 + 2 * mask(&self.published[number], &self.current[number]).count_ones() as usize;
             if bytes > budget {
                 break;
--- a/digest/tests/digest.rs
+++ b/digest/tests/digest.rs
@@ -138,7 +138,8 @@
 
 proptest! {
     /// Frames arrive in arbitrary pieces; some are lost, some are duplicated, and the publisher restarts now
-    /// and then. Whenever a follower accepts a version, its loads are those published with that version.
+    /// and then. Whenever a follower accepts a version, its loads are those published with that version,
+    /// checked against a simple model.
     #[test]
     fn a_follower_knows_what_was_published(
         steps in proptest::collection::vec((0u8..10, 0usize..6, 0u32..40, 0u32..5, any::<bool>()), 1..200),
--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -1,8 +1,8 @@
 //! A bounded store of idempotency keys. For each key it records whether its request is in progress, was
 //! served (with the result), or may have run (with where and when), and decides what a new request with the
 //! key may do: start, join the one in progress, receive its stored result, or be sent again to the place
-//! where the first one may have run. Contains no clock and no I/O. A key that is in progress or inside its
-//! window is never evicted; when the store is full, new keys are refused.
+//! where the first one may have run. A key that is in progress or inside its window is never evicted; when
+//! the store is full, new keys are refused. Contains no clock and no I/O, and never chooses a runner.
 
 mod snapshot;
 mod store;
@@ -57,7 +57,7 @@
     pub max_key_bytes: usize,
     /// Maximum number of keys of one member.
     pub max_entries_per_member: usize,
-    /// Retry delay for refused requests when no key has a known time of expiry.
+    /// Retry delay of a refused request if no resolved key has a window whose end would make room.
     pub hold_off: Span,
 }
 
@@ -147,11 +147,13 @@
     Join(RunId),
     /// Return the stored result.
     Replay(Bytes),
-    /// Fail: the request may have run, and no runner would recognise a repeat any more.
+    /// Fail: the request may have run, and no runner would recognise a repeat any more, or the place where it
+    /// may have run is unknown.
     NotRepeatable,
     /// Fail: the request was served, but its result was not stored (too large, or no room).
     ResultNotStored,
-    /// Fail: a retry of a request that a previous process may have sent; this store does not know it.
+    /// Fail: a retry of an unknown key, so soon after the start that a previous process may have sent the
+    /// first attempt.
     UnknownRetry,
     /// Client error: the key belongs to a request with another fingerprint.
     Conflict,
--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -16,7 +16,7 @@
 /// Memory of an entry beyond its key and result, in bytes: the slots and links of both tables at their usual
 /// load, and the rounding of the allocator (measured by the benchmark `store`).
 const ENTRY_OVERHEAD_BYTES: usize = 224;
-/// Maximum number of entries that one call removes to make room.
+/// Maximum number of entries that a call removes in one pass to make room.
 const MAX_REMOVALS_PER_CALL: usize = 256;
 
 /// Member and class (4 bytes each), then the key: a single allocation that can be looked up by slice.
@@ -365,7 +365,8 @@
         removed
     }
 
-    /// Evicts the resolved key whose window ended first; returns whether there was one.
+    /// Evicts the resolved key whose window ended first; returns whether there was one. Never evicts a key
+    /// inside its window.
     fn evict_oldest(&mut self, now: Time) -> bool {
         let Some((_, class, queue)) = self.first_window_end().filter(|(end, ..)| *end <= now) else {
             return false;
--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -42,7 +42,7 @@
 
 #[derive(Clone)]
 enum State {
-    UnderWay { run: u64, earlier: Option<SentAttempts> },
+    InProgress { run: u64, earlier: Option<SentAttempts> },
     Served { at: u64, result: Option<Bytes> },
     MayHaveRun { at: u64, sent: SentAttempts },
 }
@@ -59,7 +59,7 @@
 impl Entry {
     fn in_window(&self, now: u64) -> bool {
         match self.state {
-            State::UnderWay { .. } => true,
+            State::InProgress { .. } => true,
             State::Served { at, .. } | State::MayHaveRun { at, .. } => now < at + WINDOW[self.class as usize],
         }
     }
@@ -77,7 +77,7 @@
     now: u64,
     runs: u64,
     entries: Vec<Entry>,
-    /// New keys that were refused because the store was full.
+    /// New keys that were refused because the store was full or their member at its limit.
     refused: usize,
 }
 
@@ -94,7 +94,8 @@
 
 impl World {
     fn new() -> World {
-        let rule = |n: usize| Retention { window: Span(WINDOW[n]), uncertain_ttl: Span(UNCERTAIN_TTL[n]) };
+        let retention =
+            |n: usize| Retention { window: Span(WINDOW[n]), uncertain_ttl: Span(UNCERTAIN_TTL[n]) };
         let bounds = Bounds {
             max_entries: MAX_ENTRIES,
             max_bytes: MAX_BYTES,
@@ -103,7 +104,7 @@
             max_entries_per_member: MAX_PER_MEMBER,
             hold_off: Span(17),
         };
-        let mut store = Store::new(bounds, vec![rule(0), rule(1)]);
+        let mut store = Store::new(bounds, vec![retention(0), retention(1)]);
         store.reject_unknown_retries_until(0, Time(1100));
         store.reject_unknown_retries_until(1, Time(1100));
         World { store, now: 1000, runs: 0, entries: Vec::new(), refused: 0 }
@@ -148,7 +149,7 @@
             class: request.class,
             key: request.key.to_vec(),
             fingerprint,
-            state: State::UnderWay { run: self.runs, earlier: None },
+            state: State::InProgress { run: self.runs, earlier: None },
         };
         if let Some(at) = at {
             let (droppable, entry) = (!self.entries[at].in_window(now), &mut self.entries[at]);
@@ -159,13 +160,13 @@
             }
             let expected = match &entry.state {
                 _ if entry.fingerprint != fingerprint => Admission::Conflict,
-                State::UnderWay { run, .. } => Admission::Join(RunId(*run)),
+                State::InProgress { run, .. } => Admission::Join(RunId(*run)),
                 State::Served { result: Some(result), .. } => Admission::Replay(result.clone()),
                 State::Served { result: None, .. } => Admission::ResultNotStored,
                 State::MayHaveRun { sent, .. } => {
                     if sent.place.is_some() && now < sent.first_at.0 + WINDOW[entry.class as usize] {
                         let sent = *sent;
-                        entry.state = State::UnderWay { run: self.runs, earlier: Some(sent) };
+                        entry.state = State::InProgress { run: self.runs, earlier: Some(sent) };
                         Admission::Resend(sent)
                     } else {
                         Admission::NotRepeatable
@@ -213,14 +214,14 @@
 
     fn resolve(&mut self, pick: impl Fn(usize) -> usize, kind: u8, size: usize) {
         let under_way: Vec<usize> = (0..self.entries.len())
-            .filter(|&n| matches!(self.entries[n].state, State::UnderWay { .. }))
+            .filter(|&n| matches!(self.entries[n].state, State::InProgress { .. }))
             .collect();
         if under_way.is_empty() {
             return;
         }
         let (now, at) = (self.now, under_way[pick(under_way.len())]);
         let entry = &mut self.entries[at];
-        let State::UnderWay { earlier, .. } = entry.state else { unreachable!("filtered above") };
+        let State::InProgress { earlier, .. } = entry.state else { unreachable!("filtered above") };
         let place = Some(Place { zone: u32::from(kind), cell: 0 });
         let sent = SentAttempts::single(if kind == 3 { None } else { place }, Time(now.saturating_sub(30)));
         let resolution = match kind {
@@ -265,7 +266,7 @@
             world.perform(step);
         }
         // Once all keys are resolved and expired, no entry and no byte may be left.
-        while world.entries.iter().any(|e| matches!(e.state, State::UnderWay { .. })) {
+        while world.entries.iter().any(|e| matches!(e.state, State::InProgress { .. })) {
             world.resolve(|_| 0, 0, 10);
         }
         world.now += 1000;
--- a/ledger/src/ledger.rs
+++ b/ledger/src/ledger.rs
@@ -68,7 +68,7 @@
     open_by_member: HashMap<u32, usize>,
     /// Unfinished jobs of all members.
     open_total: usize,
-    /// Jobs that were leased when the previous process ended and have sent no heartbeat since.
+    /// Jobs that were leased when the previous process ended, until a heartbeat, a new lease or their end.
     recovering: BTreeSet<JobId>,
     /// Token bucket for leases of recovering jobs: tokens and the time of the last refill.
     recovery_bucket: (f64, Time),
@@ -97,9 +97,9 @@
     }
 
     /// Restores a ledger from stored jobs. No id below `next_id` is assigned again, even if its job has been
-    /// deleted, because a worker may still report on it. A lease that was held stays valid for at most its
-    /// length from now: its worker may still be running, but the process that received its heartbeats is
-    /// gone. Without a new heartbeat the job is run again, at a bounded rate.
+    /// deleted, because a worker may still report on it. A lease that was held stays valid until its stored
+    /// expiry, at most its length from now: its worker may still be running, but the process that received
+    /// its heartbeats is gone. Without a new heartbeat the job is run again, at a bounded rate.
     ///
     /// # Errors
     ///
@@ -197,7 +197,8 @@
             Input::Submit(submission) => self.submit(now, submission, &mut step),
             Input::Beat(id, epoch) => {
                 if let Some(job) = self.leased_job(id, epoch, &mut step) {
-                    // Not written to disk: after a restart a lease is valid for its full length anyway.
+                    // Not written to disk: after a restart the lease expires when the stored one does, and
+                    // the job is leased again.
                     let expires_at = now + job.lease;
                     self.recovering.remove(&id);
                     self.set_state(id, State::Leased { expires_at });
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -5,7 +5,7 @@
 use sablerun_settings::{Env, Tables};
 use serde_json::{Value, json};
 
-/// A valid object with a class of each effect, two tenants and prices.
+/// A valid object with a class for each value of `repeat`, two tenants and prices.
 fn valid_object() -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "objective": 200_000_000, "deadline": 5_000_000_000u64, "importance": 1,
--- a/settings/tests/reconcile.rs
+++ b/settings/tests/reconcile.rs
@@ -32,9 +32,9 @@
     let (new, names) = second.to_settings().unwrap();
     let reconciled = reconcile(&settings, &mut tables, new, &names);
     assert_eq!(reconciled.classes, [2, 3]);
-    let effects: Vec<_> = reconciled.settings.classes.iter().map(|class| class.idempotency).collect();
+    let idempotency: Vec<_> = reconciled.settings.classes.iter().map(|class| class.idempotency).collect();
     let keyed = sr::Idempotency::Keyed(sr::DedupScope::All);
-    assert_eq!(effects, [sr::Idempotency::Safe, sr::Idempotency::Safe, keyed, sr::Idempotency::Unsafe]);
+    assert_eq!(idempotency, [sr::Idempotency::Safe, sr::Idempotency::Safe, keyed, sr::Idempotency::Unsafe]);
     assert_eq!((tables.classes.get("bin"), tables.classes.name(1)), (Some(3), "bin"));
     let quotas: Vec<_> = reconciled.settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!((quotas, tables.tenants.get("n")), (vec![0.0, 8.0, 7.0], Some(1)));
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-/// The state of a worker by the list.
+/// The state of a worker, as stated by the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
     /// It accepts work.
@@ -73,7 +73,7 @@
     Ok,
     /// The worker answered with an error; the job may have run.
     Error,
-    /// Rejected because the worker is full; the job never ran.
+    /// Turned away by the worker, usually because it is full; the job never ran.
     Full,
     /// No answer within the timeout; the job may have run.
     Timeout,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -60,7 +60,8 @@
     Pushed,
     /// Changes arrive only after [`Action::Subscribe`] or [`Action::Fetch`].
     OnRequest,
-    /// The same, from an agent on this machine: what the agent has counts as reported, watched or not.
+    /// The same, from an agent on this machine: changes that the agent holds count as reported to the
+    /// dispatcher, even without a watch.
     Agent,
 }
 
@@ -79,7 +80,7 @@
     pub late_fail: f64,
 }
 
-/// The retry budget: how many attempts beyond first ones a dispatcher may make within any window.
+/// The retry budget: how many attempts beyond each request's first a dispatcher may make within any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// This number in any case ...
@@ -151,8 +152,8 @@
     /// The maximum time between two requests for the list while there is no watch.
     pub max_poll_interval: Span,
     /// How long the list stays valid after [`Event::ListSilent`]. By the protocol, changes that the watch
-    /// missed count as reported 6 s after its last sign of life; it counts as silent after 2.5 s, and some
-    /// room is left.
+    /// missed count as reported 6 s after its last sign of life. It counts as silent 2.5 s after that sign,
+    /// which leaves 3.5 s, less a margin.
     pub validity_after_silence: Span,
     /// How long the list stays valid after any other loss of the watch, which is noticed at once.
     pub validity_after_loss: Span,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! The decisions of a dispatcher that pushes jobs to workers.
 //!
-//! Every worker has a price, `C = (QL + 1) * PT + CD`: its queue length, its time per job, and the time to
-//! reach it. A job goes to a ready worker with a probability in proportion to `1 / C`. [`Balancer`] keeps the
-//! estimates behind the prices, decides which workers are ready, queues requests that find none, and handles
-//! timeouts, retries, refusals, drains and slow start.
+//! Every worker has a price, `C = (QL + 1) * PT + CD`: its queue length, its time per job, and the cost of
+//! reaching it (transfer time, another zone, a new connection). A job goes to a ready worker with a
+//! probability in proportion to `1 / C`. [`Balancer`] keeps the estimates behind the prices, decides which
+//! workers are ready, queues requests that find none, and handles timeouts, retries, refusals, drains and
+//! slow start.
 //!
 //! The library performs no I/O and reads no clock: the host passes in events with their time and executes the
 //! actions that are returned. The same events and seed give the same actions.
@@ -58,7 +59,7 @@
 pub use balance::Balancer;
 pub use interface::*;
 
-/// The README's example, run as a doc test.
+/// The README's example as a doc test, so that it keeps compiling.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/store/src/committer.rs
+++ b/store/src/committer.rs
@@ -1,5 +1,6 @@
-//! Group commit: steps are queued, and a separate thread writes all waiting steps in one commit. Steps become
-//! durable in order. After a failed commit the thread ends and nothing further is written.
+//! Group commit: steps are queued, and a separate thread writes the waiting steps in one commit, up to a
+//! limit. A step is reported as durable only after all steps before it. After a failed commit the thread ends
+//! and nothing further is written.
 
 use crate::{JobStore, StoreError};
 use sablerun_ledger::Change;
