--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -213,13 +213,13 @@
     }
 
     fn resolve(&mut self, pick: impl Fn(usize) -> usize, kind: u8, size: usize) {
-        let under_way: Vec<usize> = (0..self.entries.len())
+        let in_progress: Vec<usize> = (0..self.entries.len())
             .filter(|&n| matches!(self.entries[n].state, State::InProgress { .. }))
             .collect();
-        if under_way.is_empty() {
+        if in_progress.is_empty() {
             return;
         }
-        let (now, at) = (self.now, under_way[pick(under_way.len())]);
+        let (now, at) = (self.now, in_progress[pick(in_progress.len())]);
         let entry = &mut self.entries[at];
         let State::InProgress { earlier, .. } = entry.state else { unreachable!("filtered above") };
         let place = Some(Place { zone: u32::from(kind), cell: 0 });
