--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,5 +1,6 @@
-//! The decisions of the dispatcher; their types, events and actions are in `src/interface/`. `price` computes
-//! `C = (QL + 1) * PT + CD` for each worker, `draw_worker` picks a ready one in proportion to `1 / C`.
+//! The decisions of the dispatcher: the balancer's state and its handling of events. `price` computes the
+//! price `C = (QL + 1) * PT + CD` of each worker, and `draw_worker` picks a ready one in proportion to
+//! `1 / C`. The types of settings, events and actions are in `src/interface/`.
 
 use crate::interface::*;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -14,60 +15,94 @@
 
 use state::*;
 
-/// Running time at the fleet's mean pace per second of a hint, until finished jobs show it.
+/// Running time at the fleet's mean pace per second of hint, until finished jobs show the actual ratio.
 const HINT_SCALE_PRIOR: f64 = 1.25;
 /// Wait before a suspect worker gets a trial request, in seconds.
-const TRIAL_S: f64 = 1.0;
-/// Age of a worker's last report at which it is probed, where probes exist (the paper's psi), in seconds.
-const STALE_S: f64 = 2.0;
+const TRIAL_WAIT_S: f64 = 1.0;
+/// Age of a worker's last report, in seconds, beyond which it is probed where probes exist (the paper's psi).
+const STALE_REPORT_S: f64 = 2.0;
 /// Share of the objective that an attempt may wait for its start before it is moved to another worker.
-const START_PATIENCE: f64 = 0.25;
-/// Half-life of failure rates and of the tenants' use of their shares, in seconds.
-const HALF_LIFE_S: f64 = 10.0;
-/// Failure rate at which a worker counts as failing, or an error as caused by the request itself.
-const FAILING: f64 = 0.5;
-/// A longer gap between events may be a stall of this dispatcher, in seconds.
-const STALL_S: f64 = 0.3;
-/// Cap on a value, as a multiple of the usual one: a single absurd value must not cost other requests.
-const OUTLIER: f64 = 64.0;
-/// Timer tokens of the balancer itself; smaller ones belong to requests and attempts.
+const START_PATIENCE_SHARE: f64 = 0.25;
+/// Half-life, in seconds, of failure rates, of the rate of repeated errors and of the tenants' use of their
+/// quotas.
+const RATE_HALF_LIFE_S: f64 = 10.0;
+/// Failure rate from which a worker counts as failing, and rate of repeated errors above which an error
+/// counts as caused by the request itself.
+const FAILING_RATE: f64 = 0.5;
+/// Gap between events, in seconds, beyond which this dispatcher may have stalled.
+const STALL_GAP_S: f64 = 0.3;
+/// Cap on a sample, as a multiple of the usual value: a single absurd value must not harm other requests.
+const OUTLIER_FACTOR: f64 = 64.0;
+/// Token of the timer for the next pass over the queue. Smaller ones belong to requests and attempts.
 const DISPATCH_TIMER: u64 = 1 << 62;
+/// Token of the timer for the next probes.
 const PROBE_TIMER: u64 = DISPATCH_TIMER + 1;
+/// Token of the timer for the next request for the list.
 const SUBSCRIBE_TIMER: u64 = DISPATCH_TIMER + 2;
 
 /// Turns events into actions. The default has no classes and admits nothing; use [`Balancer::new`].
 #[derive(Default)]
 pub struct Balancer {
+    /// The settings in use.
     settings: Settings,
+    /// Source of every random choice, with the seed given to [`Balancer::new`].
     rng: fastrand::Rng,
+    /// Time of the balancer's creation.
     start: Time,
-    now: Time,               // of the current event
-    stalled_at: Time,        // when events last resumed after a gap
-    now_s: f64,              // `now` in seconds since the start
-    started: bool,           // the first event has been handled
-    outbox: Vec<Action>,     // of the current event
-    entries: Vec<ListEntry>, // the worker list, by worker number
-    workers: Vec<Worker>,    // estimates of the same workers
+    /// Time of the current event.
+    now: Time,
+    /// Time of the last event that followed a gap longer than `STALL_GAP_S`.
+    resumed_at: Time,
+    /// `now` in seconds since the start.
+    now_s: f64,
+    /// Whether the first event has been handled.
+    started: bool,
+    /// Actions of the current event.
+    outbox: Vec<Action>,
+    /// The worker list, by worker number.
+    entries: Vec<ListEntry>,
+    /// Estimates of the same workers.
+    workers: Vec<Worker>,
+    /// Estimates shared by workers of one machine kind in one zone.
     groups: Vec<Group>,
+    /// Estimates of the classes, by class number.
     classes: Vec<ClassStats>,
-    /// By tenant: quota per second, requests it may still make, share of the quota used here, and as of when.
+    /// By tenant: quota in requests per second, requests that it may still make, the share of its quota used
+    /// at this dispatcher, and the time at which the last two held, in seconds since the start.
     tenants: Vec<(f64, f64, f64, f64)>,
+    /// Requests that are queued or have outstanding attempts.
     requests: HashMap<RequestId, Request>,
-    pending: BTreeSet<(bool, u64, RequestId)>, // in order of service: within share first, then by rank
+    /// The queue in order of service: requests within their tenant's share first, then by rank.
+    pending: BTreeSet<(bool, u64, RequestId)>,
+    /// Whether a timer for the next pass over the queue is set.
     dispatch_timer_set: bool,
-    mean_work: [f64; 2], // mean running time times slots of arrivals, from 0.1 s and from the objectives on
-    hint_scale: (f64, f64), // running time at the fleet's mean pace per second of hint; number of samples
-    base_latency: f64,   // reported by a worker of mean pace, in seconds
-    /// Arrival times of requests, and times of retries, within the retry budget's window.
+    /// Mean work of arrivals, in slots times seconds: an average that began at 0.1, and one that began at the
+    /// mean of the classes' objectives.
+    mean_work: [f64; 2],
+    /// Running time at the fleet's mean pace per second of hint, and the number of samples.
+    hint_scale: (f64, f64),
+    /// Latency reported by a worker of mean pace, in seconds; zero until there is a report.
+    base_latency_s: f64,
+    /// Arrival times of requests within the retry budget's window.
     recent_requests: VecDeque<Time>,
+    /// Times of retries within the retry budget's window.
     recent_retries: VecDeque<Time>,
-    late_starts: [f64; 2], // share of recent attempts that started late, in the local and in remote zones
-    full_rate: f64,        // share of recent attempts rejected as full
-    base_errors: f64,      // lowest error rate of a worker in use
-    loss_rate: f64,        // estimated share of recent attempts whose answers were lost
-    repeat_errors: (f64, f64), // share of errors that occurred again at another worker; time of update
-    safe_idle_s: f64,      // idle time that connections have been found to survive
-    list_backoff: f64,     // in seconds
+    /// Share of recent attempts that started late, in the local and in remote zones.
+    late_start_rates: [f64; 2],
+    /// Share of recent attempts rejected as full.
+    full_rate: f64,
+    /// Lowest error rate of a worker in use.
+    base_error_rate: f64,
+    /// Estimated share of recent attempts whose answers were lost.
+    loss_rate: f64,
+    /// Share of errors that occurred again at another worker, and the time of its update in seconds since the
+    /// start.
+    repeat_error_rate: (f64, f64),
+    /// Idle time that connections have been found to survive, in seconds.
+    safe_idle_s: f64,
+    /// Backoff before the next request for the list, in seconds; zero after a list has arrived.
+    list_backoff_s: f64,
+    /// Whether a timer for the next request for the list is set.
     subscribe_pending: bool,
     /// While the watch is lost: when unseen list changes start to count as reported, and sending must stop.
     list_expiry: Option<Time>,
@@ -85,7 +120,7 @@
             rng: fastrand::Rng::with_seed(seed),
             start: now,
             now,
-            stalled_at: now,
+            resumed_at: now,
             safe_idle_s: f64::INFINITY,
             mean_work: [0.1; 2],
             hint_scale: (HINT_SCALE_PRIOR, 10.0),
@@ -95,33 +130,37 @@
         Ok(balancer)
     }
 
-    /// Adopts settings: classes and tenants keep their numbers; open requests keep a lower limit of attempts.
+    /// Adopts settings. Classes and tenants keep their numbers; open requests keep the lower of the old and
+    /// the new limit of attempts.
     fn apply_settings(&mut self, mut settings: Settings) {
         settings.classes.extend(self.settings.classes.iter().skip(settings.classes.len()).cloned());
-        for (t, tenant) in settings.tenants.iter().enumerate() {
-            let (quota, part) = (tenant.quota_per_s, 1.0 / f64::from(settings.dispatchers));
-            self.tenants.resize(self.tenants.len().max(t + 1), (quota, quota * part, part, self.now_s));
-            self.tenants[t].0 = quota;
+        for (index, tenant) in settings.tenants.iter().enumerate() {
+            let quota = tenant.quota_per_s;
+            let part = 1.0 / f64::from(settings.dispatchers);
+            self.tenants.resize(self.tenants.len().max(index + 1), (quota, quota * part, part, self.now_s));
+            self.tenants[index].0 = quota;
         }
         for class in settings.classes.iter().skip(self.classes.len()) {
             self.mean_work[1] +=
                 (class.objective.secs() - self.mean_work[1]) / (self.classes.len() + 1) as f64;
-            self.classes.push(ClassStats { mean: (class.objective.secs().max(1e-3), 1.0), max_window: 0.0 });
+            self.classes
+                .push(ClassStats { mean_time: (class.objective.secs().max(1e-3), 1.0), max_window_s: 0.0 });
         }
-        let limit = settings.max_attempts as usize;
-        self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(limit));
+        let max_attempts = settings.max_attempts as usize;
+        self.requests.values_mut().for_each(|r| r.max_attempts = r.max_attempts.min(max_attempts));
         self.settings = settings;
     }
 
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.stalled_at = if (now - self.now).secs() > STALL_S { now } else { self.stalled_at };
-        (self.now, self.now_s) = (now, (now - self.start).secs());
+        self.resumed_at = if (now - self.now).secs() > STALL_GAP_S { now } else { self.resumed_at };
+        self.now = now;
+        self.now_s = (now - self.start).secs();
         if !std::mem::replace(&mut self.started, true) {
-            // Requests the list where it must be requested, and starts probing after a random delay.
+            // Requests the list where it is not pushed, and starts probing after a random delay.
             self.list_lost(&Event::ListFailed);
             if self.settings.probing {
-                let wait = Span::from_secs(STALE_S * self.rng.f64());
+                let wait = Span::from_secs(STALE_REPORT_S * self.rng.f64());
                 self.outbox.push(Action::Timer(now + wait, PROBE_TIMER));
             }
         }
@@ -139,10 +178,11 @@
             }
             Event::AttemptUpdate(id, attempt, update) => self.attempt_updated(id, attempt, update),
             Event::Ended { .. } => self.attempt_ended(event),
-            Event::Probed(WorkerId(i), ok, report) => {
-                if let Some(w) = self.workers.get_mut(i as usize) {
+            Event::Probed(WorkerId(worker), ok, report) => {
+                // A suspect worker that answers a probe may get its trial request at once.
+                if let Some(w) = self.workers.get_mut(worker as usize) {
                     w.trial_at = w.trial_at.map(|trial| if ok { trial.min(self.now_s) } else { trial });
-                    report.into_iter().for_each(|report| self.apply_report(i as usize, report));
+                    report.into_iter().for_each(|report| self.apply_report(worker as usize, report));
                 }
             }
             Event::SettingsChanged(settings) => self.apply_settings(*settings),
@@ -161,18 +201,20 @@
     }
 }
 
-/// Adds a sample, capped at `OUTLIER` times the mean, to a mean of at most 200 samples and their count.
-fn update_mean((mean, count): &mut (f64, f64), sample: f64, min: f64) {
+/// Adds a sample, capped at `OUTLIER_FACTOR` times the mean, to a mean and its number of samples. The number
+/// stops at 200, so that later samples keep a weight of 1/200; the mean does not fall below `min_mean`.
+fn update_mean((mean, count): &mut (f64, f64), sample: f64, min_mean: f64) {
     *count = (*count + 1.0).min(200.0);
-    *mean = (*mean + (sample.min(*mean * OUTLIER) - *mean) / *count).max(min);
+    *mean = (*mean + (sample.min(*mean * OUTLIER_FACTOR) - *mean) / *count).max(min_mean);
 }
 
-/// Returns the fraction of a count that is left after a time.
-fn decay(age: f64, half_life: f64) -> f64 {
-    (-age / half_life).exp2()
+/// Returns the fraction that is left of a value of this age; both times are in seconds.
+fn decay(age_s: f64, half_life_s: f64) -> f64 {
+    (-age_s / half_life_s).exp2()
 }
 
-/// Returns the token of an attempt's timer; the token of a request's own timer has 0 in the low byte.
+/// Returns the token of an attempt's timer: the request's id, and in the low byte the attempt's number plus
+/// one. The token of a request's own timer has 0 there.
 fn attempt_token(id: RequestId, number: usize) -> u64 {
     u64::from(id.0) << 8 | (number as u64 + 1)
 }
