--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -86,7 +86,7 @@
 pub fn reload(runtime: &Runtime, text: &mut Value, key_config: Option<&operator::Keys>) {
     if let Err(e) = read_config().and_then(|read| apply_config(runtime, text, read, key_config)) {
         Metrics::add(&runtime.metrics.conf_invalid);
-        log::error!("configuration not read anew, the old one stays: {e}");
+        log::error!("configuration not reloaded, the previous one stays in use: {e}");
     }
 }
 
@@ -104,7 +104,7 @@
 ) -> Result<(), String> {
     let (settings, tables) = config.to_settings()?;
     Metrics::add(&runtime.metrics.conf_loaded);
-    log::info!("configuration read anew, discovery at {}", config.discovery);
+    log::info!("configuration reloaded, discovery at {}", config.discovery);
     for key in READ_AT_START {
         if new.pointer(key) != text.pointer(key) {
             let key = key.trim_start_matches('/').replace('/', ".");
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -205,7 +205,7 @@
     // the listeners stay open to the end for runners' call-backs.
     runtime.metrics.ready.store(false, std::sync::atomic::Ordering::Relaxed);
     let (grace, stop) = runtime.shutdown_times();
-    log::info!("told to end within {:.3} s: {}", stop.as_secs_f64(), runtime.summary());
+    log::info!("shutting down within {:.3} s: {}", stop.as_secs_f64(), runtime.summary());
     runtime.feed(Input::StopAt(runtime.clock.now() + sr::Span(stop.as_nanos() as u64)));
     let socket_inherited = inherited.is_some();
     let grace = if socket_inherited { Duration::ZERO } else { grace };
@@ -217,6 +217,6 @@
     if let Some(writer) = writer.and_then(Rc::into_inner) {
         writer.finish(snapshots::capture(&runtime, true));
     }
-    log::info!("ends: {}", runtime.summary());
+    log::info!("exiting: {}", runtime.summary());
     Ok(())
 }
--- a/node/src/net/platform/closing.rs
+++ b/node/src/net/platform/closing.rs
@@ -62,7 +62,7 @@
             observed.connections = self.connections.borrow().len();
             match shutdown.step(&observed) {
                 Phase::Draining if before == Phase::Serving => {
-                    log::info!("lets clients go: {}", self.runtime.summary());
+                    log::info!("closing client connections: {}", self.runtime.summary());
                     self.runtime.begin_shutdown();
                     // Not runners' connections: the jobs in progress still need their call-backs.
                     self.request_close_of(|c| c.traffic.get() == Traffic::Requests, CloseMode::Graceful);
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -166,7 +166,7 @@
     {
         std::fs::write(&program.config, text).unwrap();
         program.signal("HUP");
-        assert!(program.log.wait("configuration not read anew", n + 1).contains(key));
+        assert!(program.log.wait("configuration not reloaded", n + 1).contains(key));
     }
     assert_eq!(call(program.address, &api_request("pick-route", &new_id(), "5000m", ""), "x").body, "by s-0");
     discovery.break_watches();
--- a/node/tests/operations.rs
+++ b/node/tests/operations.rs
@@ -29,7 +29,7 @@
     let new = start_on_shared_socket(&config, &socket, None);
     old.signal("TERM");
     assert!(old.child.wait().unwrap().success(), "the old process shuts down cleanly");
-    old.log.wait("ends: ", 1);
+    old.log.wait("exiting: ", 1);
     // New requests reach the new process on the same address; the old one's log has no more of them.
     let before = old.log.count("request ");
     for _ in 0..5 {
@@ -215,7 +215,7 @@
     let new = start_on_shared_socket(&config, &socket, Some(&old));
     new.admin_address();
     old.signal("TERM");
-    old.log.wait("lets clients go", 1);
+    old.log.wait("closing client connections", 1);
     assert_eq!(call_back(address, "0badcafe", "done"), 200, "an unknown job");
     assert_eq!(call_back(address, &id, "started"), 200);
     assert_eq!(call_back(address, &id, "done"), 200);
@@ -326,11 +326,11 @@
     for (number, text) in invalid.iter().enumerate() {
         std::fs::write(&program.config, text).unwrap();
         program.signal("HUP");
-        program.log.wait("configuration not read anew, the old one stays", number + 1);
+        program.log.wait("configuration not reloaded, the previous one stays in use", number + 1);
     }
     std::fs::write(&program.config, &whole).unwrap();
     program.signal("HUP");
-    program.log.wait("configuration read anew", 1);
+    program.log.wait("configuration reloaded", 1);
     let stats = admin_call(admin_address, "STATS\n");
     assert_eq!((metric(&stats, "conf_invalid"), metric(&stats, "conf_loaded")), (5, 1));
     assert_eq!(run_job(program.address), (200, "by s-0".to_owned()), "the settings are still in use");
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -160,11 +160,11 @@
     runner.events.wait("POST hang", 1);
     call_back(&program, &id, "started", "");
     program.signal("TERM");
-    program.log.wait("told to end", 1);
+    program.log.wait("shutting down", 1);
     let late = call(program.address, &api_request("short-pick", &new_id(), "5000m", ""), "serve");
     assert_eq!(late.status(), 200);
     assert_eq!(late.headers.get("connection"), None);
-    program.log.wait("lets clients go", 1);
+    program.log.wait("closing client connections", 1);
     let last = call(program.address, &api_request("short-pick", &new_id(), "5000m", ""), "serve");
     assert_eq!((last.status(), last.headers["connection"].as_str()), (200, "close"));
     call_back(&program, &id, "done", "at last");
@@ -188,7 +188,7 @@
     runner.events.wait(&format!("POST hang {}", ids[0]), 1);
     call_back(&program, &ids[0], "started", "");
     program.signal("TERM");
-    program.log.wait("told to end", 1);
+    program.log.wait("shutting down", 1);
     let late = send_api_request(&program, "short-pick", &ids[1], "600000m", "hang");
     runner.events.wait(&format!("POST hang {}", ids[1]), 1);
     call_back(&program, &ids[1], "started", "");
@@ -196,5 +196,5 @@
     // is answered by the core.
     assert_eq!((read_answer(&early).unwrap().status(), read_answer(&late).unwrap().status()), (502, 503));
     assert!(program.child.wait().unwrap().success());
-    assert!(program.log.wait("ends: ", 1).ends_with("open 0"));
+    assert!(program.log.wait("exiting: ", 1).ends_with("open 0"));
 }
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -46,7 +46,7 @@
     // The program answers a call made after these bytes arrived, so it has read them.
     assert_eq!(call(program.address, "GET /up HTTP/1.1", "").status(), 200);
     program.signal("TERM");
-    program.log.wait("lets clients go", 1);
+    program.log.wait("closing client connections", 1);
     // An idle connection is closed between requests.
     let mut rest = Vec::new();
     (&idle).read_to_end(&mut rest).expect("a close, not a reset");
@@ -85,7 +85,7 @@
     };
     call_back("started");
     program.signal("TERM");
-    program.log.wait("lets clients go", 1);
+    program.log.wait("closing client connections", 1);
     stream.write_all(request_text(&second, "early").as_bytes()).unwrap();
     call_back("done");
     stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
@@ -144,7 +144,7 @@
         std::io::BufRead::lines(lines).map_while(Result::ok).for_each(|line| log_writer.push(line));
     });
     log.wait("ready on ", 1);
-    log.wait("configuration read anew", 1);
+    log.wait("configuration reloaded", 1);
     kill("TERM");
     assert!(child.wait().unwrap().success());
 }
@@ -166,10 +166,10 @@
     program.signal("TERM");
     program.signal("HUP");
     program.signal("CONT");
-    let line = program.log.wait("told to end", 1);
-    assert!(line.contains("told to end within 0.800 s"), "{line}");
+    let line = program.log.wait("shutting down", 1);
+    assert!(line.contains("shutting down within 0.800 s"), "{line}");
     program.signal("TERM");
     program.signal("HUP");
     assert!(program.child.wait().unwrap().success());
-    assert_eq!(program.log.count("told to end"), 1);
+    assert_eq!(program.log.count("shutting down"), 1);
 }
