--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -54,7 +54,7 @@
             Ok(bytes) => bytes,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
             Err(e) => {
-                log::error!("keys: {}: {e}: starts without", self.file.display());
+                log::error!("keys: {}: {e}: starting without the snapshot", self.file.display());
                 return None;
             }
         };
@@ -64,7 +64,10 @@
                 let aside = sibling(&self.file, "refused");
                 let moved = std::fs::rename(&self.file, &aside).map_err(|e| e.to_string());
                 let (file, moved) = (self.file.display(), moved.err().unwrap_or_default());
-                log::error!("keys: {file}: {e}: starts without; set aside as {} {moved}", aside.display());
+                log::error!(
+                    "keys: {file}: {e}: starting without the snapshot; moved to {} {moved}",
+                    aside.display()
+                );
                 None
             }
         }
@@ -143,7 +146,7 @@
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                     skipped += 1;
                     if skipped.is_power_of_two() {
-                        log::warn!("keys: the disk is too slow: {skipped} snapshots left out in a row");
+                        log::warn!("keys: snapshots take too long: {skipped} skipped in a row");
                     }
                 }
             }
@@ -172,7 +175,7 @@
             }
             Err(e) => {
                 if !std::mem::replace(&mut failing, true) {
-                    log::error!("keys: snapshot not written, the one before stays: {e}");
+                    log::error!("keys: snapshot not written, the previous one stays: {e}");
                 }
             }
         }
@@ -200,7 +203,10 @@
         let names = (|n: &str| tables.classes.get(n), |n: &str| tables.tenants.get(n));
         let records = snapshot.renumbered(names.0, names.1, |n| tables.zones.get(n));
         let taken = store.restore(now, records);
-        log::info!(keys = all, taken = taken, age_s = age, whole = clean; "keys: a predecessor's are back");
+        log::info!(
+            keys = all, taken = taken, age_s = age, whole = clean;
+            "keys: restored from the predecessor's snapshot"
+        );
     }
     store
 }
--- a/node/tests/key_snapshots.rs
+++ b/node/tests/key_snapshots.rs
@@ -55,7 +55,7 @@
         program.child.wait().unwrap();
         drop(program);
         let program = Program::start(&halls.discovery, settings(), Some(&operator));
-        program.log.wait("a predecessor's are back", 1);
+        program.log.wait("restored from the predecessor's snapshot", 1);
         assert_eq!(send_keyed(&program, "wave-release", &key, "serve", "\r\nX-Retried: 1").0, 200);
         assert_eq!(halls.jobs_received("serve"), 1);
         // An unknown key: after a kill, jobs sent since the snapshot are unknown, so the retry may have run.
@@ -104,8 +104,8 @@
         program.signal("KILL");
         program.child.wait().unwrap();
         program = Program::start_with(config.clone(), Some(&operator));
-        program.log.wait("a predecessor's are back", 1);
-        assert_eq!(program.log.count("starts without"), 0);
+        program.log.wait("restored from the predecessor's snapshot", 1);
+        assert_eq!(program.log.count("starting without the snapshot"), 0);
         assert!(!folder.join("keys.refused").exists());
         let before = halls.jobs_received("serve");
         assert_eq!(send_keyed(&program, "short-pick", &format!("{round}-0"), "serve", "").0, 200);
