--- a/node/src/admin_calls.rs
+++ b/node/src/admin_calls.rs
@@ -32,14 +32,15 @@
     // First takes over what the other process of an upgrade has written since the last check, which the write
     // below would otherwise undo.
     sync_disabled(runtime, file);
-    let action = if disabled { "taken out" } else { "put back" };
+    // The answer to the caller keeps its own words for the action.
+    let (action, answered) = if disabled { ("disabled", "taken out") } else { ("enabled", "put back") };
     if let Err(why) = runtime.set_disabled(runner.to_owned(), disabled, false) {
         log::warn!(runner = runner; "runner not {action}: {why}");
         return Err(why.to_owned());
     }
-    log::info!(runner = runner; "runner {action} by hand");
+    log::info!(runner = runner; "runner {action} by an operator");
     disabled_file::write(file, runtime.disabled_runners().iter().map(String::as_str))
-        .map_err(|e| format!("{action} here, but not kept in {}: {e}", file.display()))
+        .map_err(|e| format!("{answered} here, but not kept in {}: {e}", file.display()))
 }
 
 /// Applies a runner's call-back that the other process of an upgrade forwarded.
@@ -57,15 +58,21 @@
 pub fn sync_disabled(runtime: &Runtime, file: &Path) {
     let saved = match disabled_file::read(file) {
         Ok(saved) => saved,
-        Err(e) => return log::warn!("bans: {}: {e}", file.display()),
+        Err(e) => return log::warn!("disabled runners: {}: {e}", file.display()),
     };
     let current = runtime.disabled_runners();
     for runner in saved.difference(&current) {
-        log::info!(runner = runner.as_str(); "runner taken out by hand, as the file of bans says");
+        log::info!(
+            runner = runner.as_str();
+            "runner disabled by an operator, from the file of disabled runners"
+        );
         let _ = runtime.set_disabled(runner.clone(), true, true);
     }
     for runner in current.difference(&saved) {
-        log::info!(runner = runner.as_str(); "runner put back by hand, as the file of bans says");
+        log::info!(
+            runner = runner.as_str();
+            "runner enabled by an operator, from the file of disabled runners"
+        );
         let _ = runtime.set_disabled(runner.clone(), false, true);
     }
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -157,7 +157,7 @@
             Ok(peers) => front.forward_call_backs_to(peers),
             Err(e) => log::warn!("call-backs of an upgrade are not handed on: $TMPDIR: {e}"),
         }
-        log::info!("operators' door on {at}");
+        log::info!("admin socket on {at}");
     }
     runtime.metrics.ready.store(true, std::sync::atomic::Ordering::Relaxed);
     log::info!("{} ready on {listen}, discovery at {}", config.name, config.discovery);
--- a/stand-ins/src/scripted/program.rs
+++ b/stand-ins/src/scripted/program.rs
@@ -160,8 +160,8 @@
 
     /// Returns the address of the admin socket.
     pub fn admin_address(&self) -> SocketAddr {
-        let line = self.log.wait("operators' door on ", 1);
-        line.split_once("operators' door on ").unwrap().1.trim().parse().unwrap()
+        let line = self.log.wait("admin socket on ", 1);
+        line.split_once("admin socket on ").unwrap().1.trim().parse().unwrap()
     }
 
     pub fn signal(&self, name: &str) {
