--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -155,7 +155,7 @@
         // Only once the admin socket is served, so that processes that find the entry get an answer.
         match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.hand_on_timeout) {
             Ok(peers) => front.forward_call_backs_to(peers),
-            Err(e) => log::warn!("call-backs of an upgrade are not handed on: $TMPDIR: {e}"),
+            Err(e) => log::warn!("call-backs are not forwarded during an upgrade: $TMPDIR: {e}"),
         }
         log::info!("admin socket on {at}");
     }
--- a/node/src/net/callbacks.rs
+++ b/node/src/net/callbacks.rs
@@ -32,7 +32,7 @@
         "failed" => sr::Outcome::Error,
         "returned" => sr::Outcome::Full,
         "lost" => sr::Outcome::Reset,
-        other => return log::warn!("call-back with state {other:?} from {from}: passed over"),
+        other => return log::warn!("call-back with state {other:?} from {from}: ignored"),
     };
     let report = call_back.load.and_then(|load| runtime.with_tables(|tables| load_object(tables, &load)));
     let end = AttemptEnd { outcome, result: result_bytes(call_back.result), report };
--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -53,7 +53,7 @@
                 ended = self.read_stream(&mut received) => ended.err().unwrap_or_else(|| "ended".to_owned()),
                 () = self.resync.notified() => "a gap".to_owned(),
             };
-            log::warn!("digest at {}: {reason}; probes go out until it is back", self.address);
+            log::warn!("digest at {}: {reason}; probing runners directly until it is back", self.address);
             // After a long stream the backoff starts again. The random share keeps the subscribers of a
             // publisher that was down from reconnecting all at once.
             let lasted = received && began.elapsed() > BACKOFF.1;
--- a/node/src/net/hosts.rs
+++ b/node/src/net/hosts.rs
@@ -40,7 +40,7 @@
             "left" => sr::WorkerState::Gone,
             other => {
                 // An unknown health is no sign that the runner wants work.
-                log::warn!("discovery says {other:?} of runner {}: taken for draining", self.host);
+                log::warn!("discovery: unknown state {other:?} of runner {}: treated as draining", self.host);
                 sr::WorkerState::Draining
             }
         }
--- a/node/src/net/platform/requests.rs
+++ b/node/src/net/platform/requests.rs
@@ -179,7 +179,7 @@
                 Forwarded::Unreachable => {
                     log::warn!(
                         id = call_back.id.as_str();
-                        "call-back not handed on: the other process is silent"
+                        "call-back not forwarded: the other process does not answer"
                     );
                     Reply::new(StatusCode::SERVICE_UNAVAILABLE, "not handed on: tell it again")
                 }
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -161,7 +161,7 @@
                     link.start(attempt, id, &runner, job, deadline);
                 }
                 None => {
-                    log::warn!("no way to runner {runner}: attempt not made");
+                    log::warn!("no address known for runner {runner}: attempt not made");
                     let ending = crate::core::AttemptEnd::without_report(sr::Outcome::ConnectFailed);
                     self.feed(Input::AttemptEnded(attempt, ending));
                 }
