--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -380,7 +380,7 @@
             workers.values_mut().for_each(|worker| worker.running.retain(|_, job| !expired(job)));
             drop(workers);
             for wid in silent_wids {
-                log::warn!("faktory: worker {wid} has missed its beats: gone");
+                log::warn!("faktory: worker {wid} missed its heartbeats: removed");
                 self.disconnect(&wid, None);
                 self.workers.borrow_mut().remove(&wid);
             }
@@ -395,7 +395,9 @@
     pub fn reload(&self) {
         match self.identities.as_ref().map(|identities| identities.reload()) {
             Some(Ok(true)) => log::info!("faktory: SVID and bundles reloaded"),
-            Some(Err(e)) => log::error!("faktory: SVID and bundles not reloaded, the old ones stay: {e}"),
+            Some(Err(e)) => {
+                log::error!("faktory: SVID and bundles not reloaded, the previous ones stay in use: {e}")
+            }
             Some(Ok(false)) | None => {}
         }
     }
@@ -522,7 +524,7 @@
         let reconnected = worker.connections.len() == 1 && !worker.queues.is_empty();
         drop(workers);
         if reconnected {
-            log::info!("faktory: worker {wid} of {} is back", peer.name);
+            log::info!("faktory: worker {wid} of {} reconnected", peer.name);
             self.report_worker(wid);
         }
         Ok(())
@@ -767,7 +769,7 @@
         worker.queues.extend(parked.queues.iter().cloned());
         worker.parked.push_back(parked);
         if first {
-            log::info!("faktory: worker {wid} of {} is here", worker.peer);
+            log::info!("faktory: worker {wid} of {} connected", worker.peer);
         }
         drop(workers);
         if first {
@@ -846,7 +848,7 @@
         // Handing out the queued jobs would be new work for a worker that drains.
         let returned: Vec<_> = worker.queued.drain(..).map(|job| job.attempt).collect();
         drop(workers);
-        log::info!("faktory: worker {wid} is quiet: it drains");
+        log::info!("faktory: worker {wid} is quiet: draining");
         self.report_worker(wid);
         self.end_attempts(returned, sr::Outcome::Full);
         Ok(())
@@ -885,7 +887,7 @@
         }
         drop(workers);
         if gone {
-            log::info!("faktory: worker {wid} has no connection left");
+            log::info!("faktory: worker {wid} disconnected");
             self.report_worker(wid);
         }
         self.end_attempts(interrupted, sr::Outcome::Reset);
--- a/node/tests/gateway.rs
+++ b/node/tests/gateway.rs
@@ -182,7 +182,7 @@
     assert_eq!(silent.command("FETCH waves"), "$-1");
     let lost_push = push(address, job("waves", &new_id(), "serve", json!({"timeout_ms": 6000})));
     let held_job = fetch(&mut silent, "waves");
-    program.log.wait("w-1 has missed its beats", 1);
+    program.log.wait("w-1 missed its heartbeats", 1);
     // The job may have run, so a class whose repeats are limited to one hall fails.
     assert!(lost_push.join().unwrap().starts_with("-ERR FAILED"));
     // The worker gets an error on its old connection and is accepted on a new one, which the end of the old
@@ -440,6 +440,6 @@
     // An invalid file changes nothing.
     write(&folder, "lahore.pem", "nothing");
     program.signal("HUP");
-    program.log.wait("not reloaded, the old ones stay: tls.bundle.file", 1);
+    program.log.wait("not reloaded, the previous ones stay in use: tls.bundle.file", 1);
     connect(address, &rotated_ca.svid("/pick-node/9")).hello(Some("w-9"));
 }
