--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,7 +1,7 @@
 //! The file format of an experiment on one installation (`experiments/*.toml`), with defaults and validation.
 //! Names of times end in their unit; shares are from 0 to 1.
 
-use sablerun_stand_ins::installation::{Class, Clients, Faults, Hall};
+use sablerun_stand_ins::installation::{Class, ClientBehaviour, Faults, Hall};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -21,7 +21,7 @@
     pub class: Vec<Class>,
     /// The behaviour of clients.
     #[serde(default)]
-    pub clients: Clients,
+    pub clients: ClientBehaviour,
     /// The faults of pick nodes.
     #[serde(default)]
     pub faults: Faults,
--- a/lab/src/scale/part_runners.rs
+++ b/lab/src/scale/part_runners.rs
@@ -3,7 +3,7 @@
 
 use super::part;
 use super::protocol::{
-    Command, Counts, CutDirection, Layout, Ready, Setup, Start, control_view, now_us, view,
+    Command, Counts, Layout, PartitionDirection, Ready, Setup, Start, control_view, now_us, view,
 };
 use sablerun_stand_ins::hollow::{Dispatcher, Partition, RunnerSpec, Runners, View, profile::Profile};
 use sablerun_stand_ins::metrics::TrafficSource;
@@ -99,9 +99,9 @@
 }
 
 /// Converts the direction of a cut link to the stand-ins' type.
-pub(super) fn partition(direction: CutDirection) -> Partition {
+pub(super) fn partition(direction: PartitionDirection) -> Partition {
     match direction {
-        CutDirection::Both => Partition::BothDirections,
-        CutDirection::Back => Partition::ToDispatchers,
+        PartitionDirection::Both => Partition::BothDirections,
+        PartitionDirection::Back => Partition::ToDispatchers,
     }
 }
--- a/lab/src/scale/protocol.rs
+++ b/lab/src/scale/protocol.rs
@@ -137,7 +137,7 @@
 /// The direction in which a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum CutDirection {
+pub enum PartitionDirection {
     Both,
     /// Data from the dispatchers' region arrives, data towards it is lost.
     Back,
@@ -160,7 +160,7 @@
     List { runners: Vec<usize>, health: String, up: bool },
     /// Cuts or restores the link between the regions of dispatchers and those of runners and discovery.
     /// Discovery is in region 0.
-    Link { cut: Option<CutDirection> },
+    Link { cut: Option<PartitionDirection> },
     /// Kills hollow dispatchers.
     DispatchersDown { dispatchers: Vec<usize> },
     /// Starts hollow dispatchers again, without any state.
--- a/lab/tests/parts.rs
+++ b/lab/tests/parts.rs
@@ -5,7 +5,7 @@
 
 use part::PartProcess;
 use sablerun_lab::scale::protocol::{
-    Command, Counts, CutDirection, Dispatcher, Layout, Ready, Runner, Setup, Start, Zone, view,
+    Command, Counts, Dispatcher, Layout, PartitionDirection, Ready, Runner, Setup, Start, Zone, view,
 };
 use sablerun_stand_ins::http::{self, Message};
 use serde_json::json;
@@ -60,7 +60,7 @@
     assert_eq!((counts.values["hollow.running_now"], counts.values["hollow.lost"]), (0.0, 1.0));
     part.command(&Command::RunnersUp { runners: vec![1] });
     assert_eq!(post(2), 202);
-    part.command(&Command::Link { cut: Some(CutDirection::Back) });
+    part.command(&Command::Link { cut: Some(PartitionDirection::Back) });
     part.command(&Command::Link { cut: None });
     // A command for other roles changes nothing.
     part.command(&Command::Play);
--- a/stand-ins/src/installation.rs
+++ b/stand-ins/src/installation.rs
@@ -66,7 +66,7 @@
 /// The behaviour of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Clients {
+pub struct ClientBehaviour {
     /// The maximum number of further tries after a failure or refusal.
     pub retries: u32,
     /// The wait before a further try, unless the answer says when to retry.
@@ -83,9 +83,9 @@
     pub marks: bool,
 }
 
-impl Default for Clients {
-    fn default() -> Clients {
-        Clients {
+impl Default for ClientBehaviour {
+    fn default() -> ClientBehaviour {
+        ClientBehaviour {
             retries: 2,
             wait_ms: 0,
             eager: 0.0,
