--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -413,8 +413,8 @@
     }
 
     /// Returns the peer of a connection without TLS, which may be a client and a worker.
-    pub fn plaintext_peer(&self, from: SocketAddr) -> Peer {
-        let name = from.ip().to_string();
+    pub fn plaintext_peer(&self, address: SocketAddr) -> Peer {
+        let name = address.ip().to_string();
         Peer { name, is_client: true, is_worker: true, member: None, zone: None, kind: None }
     }
 
--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -87,11 +87,11 @@
             .new_service(())
             .await;
         let Ok(service) = service else { return };
-        let spawn_handler = |stream: TcpStream, peer: SocketAddr| {
+        let spawn_handler = |stream: TcpStream, peer_address: SocketAddr| {
             let connection = Rc::new(Connection::new());
             let _ = stream.set_nodelay(true);
             let stream = GuardedStream::new(stream, connection.clone(), limits);
-            let handling = service.call((stream, Some(peer)));
+            let handling = service.call((stream, Some(peer_address)));
             let number = self.next_number.get();
             self.next_number.set(number + 1);
             let (front, task_connection) = (self.clone(), connection.clone());
@@ -99,7 +99,7 @@
                 let linger = front.runtime.limits.linger_timeout;
                 let table_entry = TableEntry { front, number };
                 if let Err(e) = handling.await {
-                    log::debug!("connection from {peer}: {e}");
+                    log::debug!("connection from {peer_address}: {e}");
                 }
                 let closing = task_connection.closing_stream.borrow_mut().take();
                 if let Some(stream) = closing {
@@ -122,8 +122,8 @@
                 () = self.stop_accepting.notified() => {
                     let Some(count) = self.final_accept.borrow_mut().take() else { return };
                     let mut queued = 0;
-                    while let Some((stream, peer)) = try_accept(&listener) {
-                        spawn_handler(stream, peer);
+                    while let Some((stream, peer_address)) = try_accept(&listener) {
+                        spawn_handler(stream, peer_address);
                         queued += 1;
                     }
                     let _ = count.send(queued);
@@ -134,7 +134,7 @@
                 }
             };
             match accepted {
-                Ok((stream, peer)) => spawn_handler(stream, peer),
+                Ok((stream, peer_address)) => spawn_handler(stream, peer_address),
                 Err(e) => {
                     log::warn!("accept: {e}");
                     tokio::time::sleep(limits.accept_pause).await;
@@ -165,10 +165,10 @@
 
 /// Accepts a queued connection with a direct system call: tokio's cached readiness may be out of date.
 fn try_accept(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
-    let (socket, peer) = SockRef::from(listener).accept().ok()?;
+    let (socket, peer_address) = SockRef::from(listener).accept().ok()?;
     socket.set_nonblocking(true).ok()?;
     let stream = TcpStream::from_std(socket.into()).ok()?;
-    Some((stream, peer.as_socket()?))
+    Some((stream, peer_address.as_socket()?))
 }
 
 /// Removes a connection from the table when its task ends, also when the task is aborted.
--- a/node/src/publisher/serve.rs
+++ b/node/src/publisher/serve.rs
@@ -28,12 +28,12 @@
     let Ok(service) = service else { return };
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => {
+            Ok((stream, peer_address)) => {
                 let _ = stream.set_nodelay(true);
-                let handling = service.call((stream, Some(peer)));
+                let handling = service.call((stream, Some(peer_address)));
                 actix_rt::spawn(async move {
                     if let Err(e) = handling.await {
-                        log::debug!("follower at {peer}: {e}");
+                        log::debug!("follower at {peer_address}: {e}");
                     }
                 });
             }
