--- a/node/src/publisher/loads.rs
+++ b/node/src/publisher/loads.rs
@@ -34,8 +34,8 @@
 pub(super) async fn follow(shared: Rc<Shared>) {
     let (runners, mut seq) = (Runners::default(), 0);
     loop {
-        let reason = watch(&shared, &runners, &mut seq).await.err().unwrap_or_else(|| "ended".to_owned());
-        log::warn!("discovery: watch failed: {reason}");
+        let why = watch(&shared, &runners, &mut seq).await.err().unwrap_or_else(|| "ended".to_owned());
+        log::warn!("discovery: watch failed: {why}");
         tokio::time::sleep(MAX_RETRY_DELAY.mul_f64(fastrand::f64())).await;
     }
 }
