--- a/node/src/net/platform/stream.rs
+++ b/node/src/net/platform/stream.rs
@@ -93,8 +93,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads once with a direct system call, as tokio's cached readiness may be out of date. Returns whether
-    /// there was anything.
+    /// Reads once past tokio's cached readiness, which may be out of date; whether there was anything.
     fn try_fill(&mut self) -> io::Result<bool> {
         let mut scratch = [0; CHUNK_BYTES];
         match (&*SockRef::from(&*self.stream()?)).read(&mut scratch) {
