--- a/lab/src/clients/counts.rs
+++ b/lab/src/clients/counts.rs
@@ -52,7 +52,7 @@
     pub served_requests: u64,
     /// Requests served within their time limit.
     pub in_time_requests: u64,
-    /// Requests whose two series of tries were served with different results.
+    /// Keyed requests whose two series of tries were served with different results.
     pub unlike_results: u64,
     /// The time from the intended time of a request to the answer that served it, in microseconds.
     pub latency_us: Histogram<u64>,
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// The name of the figure, `phase.figure`.
+    /// The name of the figure: `phase.figure`, or `point.figure` of a scale run.
     pub figure: String,
     /// The minimum.
     pub min: Option<f64>,
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -18,7 +18,7 @@
 /// The figures of a run, and the points of its latency curves.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Figures {
-    /// Values by `phase.figure`.
+    /// Values by `phase.figure`, or by `point.figure` of a scale run.
     pub values: BTreeMap<String, f64>,
     /// Descriptions of the first odd or lost tries, by phase.
     pub remarks: BTreeMap<String, Vec<String>>,
@@ -29,7 +29,7 @@
 /// A bound, the value of its figure and whether it holds.
 #[derive(Clone, Debug, Serialize)]
 pub struct BoundCheck {
-    /// The name of the figure, `phase.figure`.
+    /// The name of the figure, as in [`Bound`].
     pub figure: String,
     /// The value; `None` if there is no such figure.
     pub value: Option<f64>,
--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -1,5 +1,6 @@
-//! The scale run: a few real dispatchers beside many hollow ones, with hollow runners, discovery and clients.
-//! Each role runs in a process of its own, so that its cost can be measured separately.
+//! The scale run: a few real dispatchers beside many hollow (simulated) ones, with hollow runners, discovery
+//! and clients. Each simulated role runs in a process of its own, called a part, so that its cost can be
+//! measured separately.
 
 pub mod adoptions;
 pub mod changes;
--- a/lab/src/scale/control.rs
+++ b/lab/src/scale/control.rs
@@ -5,15 +5,15 @@
 use super::play::PlayedPoint;
 use super::publisher::published_between;
 
-/// Adds the figures `control.SIDE.*` of a point, computed from those of its parts.
+/// Adds the figures `control.real.*` and `control.hollow.*` of a point, computed from those of its parts.
 pub fn control_costs(played: &PlayedPoint, values: &mut Values) {
-    for side in ["real", "hollow"] {
-        let dispatchers = played.layout.dispatchers.iter().filter(|d| d.hollow == (side == "hollow"));
+    for source in ["real", "hollow"] {
+        let dispatchers = played.layout.dispatchers.iter().filter(|d| d.hollow == (source == "hollow"));
         if dispatchers.count() == 0 {
             continue;
         }
         let of = |role: &str, name: &str| {
-            values.get(&format!("{role}.{side}.{name}_per_s")).copied().unwrap_or(0.0)
+            values.get(&format!("{role}.{source}.{name}_per_s")).copied().unwrap_or(0.0)
         };
         let discovery = |name: &str| of("discovery", name);
         let runners = |name: &str| of("runners", name);
@@ -49,7 +49,7 @@
             ("bytes_settings_per_s", reloads.0),
             ("bytes_digest_per_s", digest.0),
         ] {
-            values.insert(format!("control.{side}.{name}"), value);
+            values.insert(format!("control.{source}.{name}"), value);
         }
     }
 }
--- a/lab/src/scale/costs.rs
+++ b/lab/src/scale/costs.rs
@@ -9,13 +9,13 @@
 
 /// The last words of names of counts that are gauges, whose values at the window's end are used.
 const GAUGES: [&str; 5] = ["running", "queued", "out", "in_core", "up"];
-/// The suffixes of last words of such names.
+/// The suffixes of last words that also mark a gauge.
 const GAUGE_SUFFIXES: [&str; 5] = ["_now", "_us", "_ms", "_most", "_open"];
 /// The service counts as recovered from a fault at this part of the rate of starts before it.
 const RECOVERED_SHARE: f64 = 0.8;
 /// Seconds before a fault over which the rate of starts is averaged.
 const BASELINE_S: usize = 5;
-/// The width of the sliding window after it, in seconds.
+/// The width of the sliding window over which the rate after a fault is averaged, in seconds.
 const RECOVERY_WINDOW_S: usize = 2;
 
 /// Adds memory, processor time and descriptors of each process.
@@ -70,12 +70,12 @@
 
 fn is_gauge(name: &str) -> bool {
     let last = name.rsplit('.').next().unwrap_or(name);
-    let level = GAUGES.contains(&last) || last.starts_with("max_");
-    level || name.starts_with("connections.") || GAUGE_SUFFIXES.iter().any(|end| last.ends_with(end))
+    let listed = GAUGES.contains(&last) || last.starts_with("max_");
+    listed || name.starts_with("connections.") || GAUGE_SUFFIXES.iter().any(|end| last.ends_with(end))
 }
 
-/// Adds what the parts counted: counters as rates per second, those of one side divided by the number of its
-/// dispatchers, and gauges unchanged.
+/// Adds what the parts counted: counters as rates per second, those of real or hollow dispatchers divided by
+/// the number of these, and gauges unchanged.
 pub fn messages(played: &PlayedPoint, values: &mut Values) {
     let [before, after] = &played.counts;
     let hollow = played.layout.dispatchers.iter().filter(|dispatcher| dispatcher.hollow).count().max(1);
@@ -103,8 +103,8 @@
 /// back.
 pub fn faults(played: &PlayedPoint, records: &Records, values: &mut Values) {
     let end = played.samples[1].at_us;
-    // A fault's time ends as the next one begins, but for those that begin before it is over, as during a
-    // roll-out.
+    // A fault's time lasts until the next fault that begins after it is over. Faults that begin earlier, as
+    // during a roll-out, do not end it.
     let begins: Vec<_> = played.faults.iter().map(|fault| fault.at_us).collect();
     for fault in &played.faults {
         let next = begins.iter().copied().filter(|at| *at > fault.at_us.max(fault.back_us)).min();
--- a/lab/src/scale/delays.rs
+++ b/lab/src/scale/delays.rs
@@ -1,5 +1,5 @@
-//! The delay from a configuration change to its adoption by each dispatcher: the first adoption, at or after
-//! the change, of its version or a later one.
+//! The delay from a configuration change to its adoption by each dispatcher: the first adoption of its version
+//! or a later one.
 
 use super::adoptions::adoptions_in_log;
 use super::changes::Change;
--- a/lab/src/scale/faults.rs
+++ b/lab/src/scale/faults.rs
@@ -116,8 +116,8 @@
                     publisher.spawn().await?;
                 }
             }
-            FaultKind::Link => self.cut_link(PartitionDirection::Both).await?,
-            FaultKind::LinkBack => self.cut_link(PartitionDirection::Back).await?,
+            FaultKind::Link => self.partition_link(PartitionDirection::Both).await?,
+            FaultKind::LinkBack => self.partition_link(PartitionDirection::Back).await?,
             FaultKind::RollOut => {
                 let seconds = self.fault.back_s.max(0.1);
                 self.changes.run_at_rate(self.fault.count as f64 / seconds, seconds).await?;
@@ -160,7 +160,7 @@
         Ok(real.iter().copied().chain(hollow).collect())
     }
 
-    async fn cut_link(&self, direction: PartitionDirection) -> Result<(), String> {
+    async fn partition_link(&self, direction: PartitionDirection) -> Result<(), String> {
         self.processes.send_all(&Command::Link { cut: Some(direction) }).await?;
         self.wait_for_end().await;
         self.processes.send_all(&Command::Link { cut: None }).await.map(drop)
--- a/lab/src/scale/figures.rs
+++ b/lab/src/scale/figures.rs
@@ -54,7 +54,7 @@
 }
 
 fn answers(played: &PlayedPoint, records: &Records, values: &mut Values) {
-    let side = |joined: &JoinedRequest| match played.layout.dispatchers.get(joined.request.dispatcher) {
+    let source = |joined: &JoinedRequest| match played.layout.dispatchers.get(joined.request.dispatcher) {
         Some(dispatcher) if !dispatcher.hollow => "real",
         _ => "hollow",
     };
@@ -64,7 +64,7 @@
     }
     for joined in &records.requests {
         *values.entry(format!("answers.{}", joined.request.answer)).or_default() += 1.0;
-        *values.entry(format!("answers.{}.{}", side(joined), joined.request.answer)).or_default() += 1.0;
+        *values.entry(format!("answers.{}.{}", source(joined), joined.request.answer)).or_default() += 1.0;
     }
     values.insert("answers.taken".to_owned(), records.requests.len() as f64);
     let (begin, end) = window(played);
@@ -163,16 +163,16 @@
         adoptions.extend(adoptions_of_real(number, log, &played.changes));
     }
     let dispatchers = played.layout.dispatchers.iter().enumerate();
-    for (side, hollow) in [("real", false), ("hollow", true)] {
-        let on_side = dispatchers.clone().filter(|(_, dispatcher)| dispatcher.hollow == hollow);
-        let on_side: Vec<_> = on_side.map(|(number, _)| number).collect();
-        if on_side.is_empty() {
+    for (source, hollow) in [("real", false), ("hollow", true)] {
+        let numbers = dispatchers.clone().filter(|(_, dispatcher)| dispatcher.hollow == hollow);
+        let numbers: Vec<_> = numbers.map(|(number, _)| number).collect();
+        if numbers.is_empty() {
             continue;
         }
         for what in ["list", "settings"] {
-            let delays = delays(&played.changes, &adoptions, what, &on_side);
+            let delays = delays(&played.changes, &adoptions, what, &numbers);
             let mut set =
-                |name: &str, value: f64| values.insert(format!("changes.{side}.{what}_{name}"), value);
+                |name: &str, value: f64| values.insert(format!("changes.{source}.{what}_{name}"), value);
             set("p99_ms", delays.quantile(0.99));
             set("last_ms", delays.quantile(1.0));
             set("never", delays.never as f64);
--- a/lab/src/scale/part_discovery.rs
+++ b/lab/src/scale/part_discovery.rs
@@ -1,5 +1,5 @@
 //! The part of the scale run that plays discovery: the stand-in with an address for each dispatcher, the
-//! runner list as seen from its region and side, and changes of that list on command.
+//! runner list of its view, and changes of that list on command.
 
 use super::part;
 use super::part_runners::{partition, region, views};
--- a/lab/src/scale/part_runners.rs
+++ b/lab/src/scale/part_runners.rs
@@ -98,7 +98,7 @@
     Ok(Counts { at_us: now_us(), values: runners.metrics().values(), ..Counts::default() })
 }
 
-/// Converts the direction of a cut link to the stand-ins' type.
+/// Converts the direction of a partition to the stand-ins' type.
 pub(super) fn partition(direction: PartitionDirection) -> Partition {
     match direction {
         PartitionDirection::Both => Partition::BothDirections,
--- a/lab/src/scale/protocol.rs
+++ b/lab/src/scale/protocol.rs
@@ -108,8 +108,8 @@
 }
 
 /// Returns the view of a dispatcher, which selects the address at which it reaches each runner. A runner has
-/// a listener for each region and side (real or hollow), so that links can be cut and bytes counted
-/// separately.
+/// a listener for each region and traffic source (real or hollow), so that links can be partitioned and bytes
+/// counted separately.
 pub fn view(region: usize, hollow: bool) -> usize {
     region * 2 + usize::from(hollow)
 }
@@ -134,10 +134,11 @@
     pub error: Option<String>,
 }
 
-/// The direction in which a link is cut.
+/// The direction in which the link between regions is partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PartitionDirection {
+    /// All data is lost.
     Both,
     /// Data from the dispatchers' region arrives, data towards it is lost.
     Back,
@@ -158,7 +159,7 @@
     /// Changes these runners' entries in discovery: `health` is `active`, `leaving` or `left`; if `up`, their
     /// start time is now.
     List { runners: Vec<usize>, health: String, up: bool },
-    /// Cuts or restores the link between the regions of dispatchers and those of runners and discovery.
+    /// Partitions or restores the link between the regions of dispatchers and those of runners and discovery.
     /// Discovery is in region 0.
     Link { cut: Option<PartitionDirection> },
     /// Kills hollow dispatchers.
@@ -173,8 +174,8 @@
     End,
 }
 
-/// What a part has counted so far, by name; a name ends in its unit. Counts with the prefix `real.` or
-/// `hollow.` are those of that side's dispatchers.
+/// What a part has counted so far, by name; a name ends in its unit. The prefix `real.` or `hollow.` names the
+/// dispatchers that caused what is counted.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counts {
--- a/lab/src/scale/session.rs
+++ b/lab/src/scale/session.rs
@@ -50,6 +50,7 @@
         .try_for_each(|point| machine.check_capacity(plan, point, &point.quantities(plan, factor)))?;
     let operator = remove_sections(&plan.control.operator, &options.switch_off)?;
     let seed = options.seed.unwrap_or(plan.seed);
+    // About 7 s go to the start of the processes, the startup time and the grace time.
     let length = |point: &Point| point.fill_s + point.rest_s + point.measured_s + 7.0;
     let total: f64 = points.iter().map(length).sum();
     let (mut figures_so_far, mut elapsed) = (Figures::default(), 0.0);
@@ -93,18 +94,17 @@
 /// Adds the ratios of hollow dispatchers' figures to those of real ones.
 fn add_ratios(plan: &Plan, all: &mut Figures) {
     for compare in &plan.compare {
-        let figures_of_side = |point: &str, side: &str| {
+        let figures_of = |point: &str, source: &str| {
             let prefix = format!("{point}.");
             let figures = all.values.iter().filter_map(|(name, value)| {
                 let figure = name.strip_prefix(&prefix)?;
-                // The side may be any of the name's words.
-                let words: Vec<_> = figure.split('.').filter(|word| *word != side).collect();
+                // The traffic source may be any of the name's words.
+                let words: Vec<_> = figure.split('.').filter(|word| *word != source).collect();
                 (words.len() < figure.split('.').count()).then(|| (words.join("."), *value))
             });
             figures.collect::<std::collections::BTreeMap<_, _>>()
         };
-        let (real, hollow) =
-            (figures_of_side(&compare.real, "real"), figures_of_side(&compare.hollow, "hollow"));
+        let (real, hollow) = (figures_of(&compare.real, "real"), figures_of(&compare.hollow, "hollow"));
         for (name, real) in real {
             if let Some(hollow) = hollow.get(&name).filter(|_| real != 0.0) {
                 all.values.insert(format!("{}.{name}", compare.name), hollow / real);
--- a/lab/tests/common/fixture.rs
+++ b/lab/tests/common/fixture.rs
@@ -71,8 +71,8 @@
 
     /// Returns what the runners have counted for hollow or real dispatchers.
     pub fn counted(&mut self, hollow: bool) -> BTreeMap<String, f64> {
-        let side = if hollow { "hollow." } else { "real." };
+        let source = if hollow { "hollow." } else { "real." };
         let counts = self.runners.command(&Command::Count).values.into_iter();
-        counts.filter_map(|(name, value)| Some((name.strip_prefix(side)?.to_owned(), value))).collect()
+        counts.filter_map(|(name, value)| Some((name.strip_prefix(source)?.to_owned(), value))).collect()
     }
 }
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -147,7 +147,7 @@
             part.command(&Command::Count);
             let mut rows = csv::Reader::from_path(layout.folder.join("acts.csv")).unwrap();
             let rows = rows.deserialize().map(Result::<Adoption, _>::unwrap);
-            rows.map(|act| (act.dispatcher, act.what, act.version)).collect()
+            rows.map(|adoption| (adoption.dispatcher, adoption.what, adoption.version)).collect()
         }
     };
     let wait_for_all = |part: &mut PartProcess, what: &str, version: u64| {
@@ -192,8 +192,8 @@
         values["callbacks"] >= values["started"] + values["ended"]
     });
     assert_eq!(fixture.counted(!hollow)["requests"], 0.0);
-    let side = if hollow { "hollow" } else { "real" };
-    let lists = fixture.discovery.command(&Command::Count).values[&format!("{side}.whole_lists")];
+    let source = if hollow { "hollow" } else { "real" };
+    let lists = fixture.discovery.command(&Command::Count).values[&format!("{source}.whole_lists")];
     let kinds = ["requests", "answers_202", "started", "ended", "callbacks", "copies", "give_ups", "probes"];
     let messages =
         kinds.into_iter().map(|kind| (kind, values[kind])).chain([("whole_lists", lists)]).collect();
@@ -230,6 +230,6 @@
         wait_until("all run", || fixture.counted(hollow)["running_now"] == expected);
         let counts = part.command(&Command::End).values;
         assert_eq!((counts["requests.open"], counts["requests.out"]), (expected, 0.0));
-        wait_until("all are given up", || fixture.counted(hollow)["given_up_running"] == expected);
+        wait_until("all are cancelled", || fixture.counted(hollow)["given_up_running"] == expected);
     }
 }
--- a/stand-ins/src/hollow/connections.rs
+++ b/stand-ins/src/hollow/connections.rs
@@ -21,8 +21,8 @@
     bytes: Vec<u8>,
     /// The counter of its bytes.
     counter: Counter,
-    /// The number of the accepted job, which is cancelled if the connection ends before the answer is
-    /// written.
+    /// The number of the accepted job, which is cancelled if the connection ends while a partition delays
+    /// the answer.
     job: Option<u64>,
 }
 
@@ -149,7 +149,7 @@
         metrics.add(source, Counter::Answers400, 1);
         return Response::new(Counter::BytesOutRequests, "400 Bad Request", "");
     };
-    if runner.has_wanted(id) {
+    if runner.is_wanted(id) {
         // An HTTP library may have resent the request. As on the platform it runs again, and it is counted.
         metrics.add(source, Counter::Duplicates, 1);
     }
--- a/stand-ins/src/hollow/profile.rs
+++ b/stand-ins/src/hollow/profile.rs
@@ -4,7 +4,7 @@
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// The behaviour of runners.
+/// The behaviour of runners, which does not change while they run.
 #[derive(Clone, Debug)]
 pub struct Profile {
     /// The speed after a cold start.
--- a/stand-ins/src/hollow/runner.rs
+++ b/stand-ins/src/hollow/runner.rs
@@ -174,7 +174,7 @@
     }
 
     /// Whether the newest request of this id is queued or running and not cancelled.
-    pub fn has_wanted(&self, id: &str) -> bool {
+    pub fn is_wanted(&self, id: &str) -> bool {
         lock(&self.slots).is_wanted(id)
     }
 
--- a/stand-ins/src/metrics.rs
+++ b/stand-ins/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// The kind of dispatcher that causes the counted traffic.
+/// The kind of process that causes the counted traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficSource {
     /// Dispatchers that are separate processes.
--- a/stand-ins/src/region_link.rs
+++ b/stand-ins/src/region_link.rs
@@ -33,8 +33,8 @@
 
 impl RegionLink {
     /// Partitions the link; `None` restores it.
-    pub fn set(&self, cut: Option<Partition>) {
-        self.0.send_replace(cut);
+    pub fn set(&self, partition: Option<Partition>) {
+        self.0.send_replace(partition);
     }
 
     /// Returns the partition between two regions.
--- a/stand-ins/src/scripted/faktory.rs
+++ b/stand-ins/src/scripted/faktory.rs
@@ -92,7 +92,7 @@
                         continue;
                     }
                     "error" => connection.command(&format!("FAIL {}", json!({"jid": jid, "message": "no"}))),
-                    // No client waits for it by the time that a later job is done.
+                    // Sends neither ACK nor FAIL: the client has stopped waiting by the time a later job is done.
                     "hang" | "mute" => continue,
                     _ => connection
                         .command(&format!("ACK {}", json!({"jid": jid, "result": format!("by {wid}")}))),
--- a/stand-ins/src/scripted/program.rs
+++ b/stand-ins/src/scripted/program.rs
@@ -78,8 +78,9 @@
     pub address: SocketAddr,
     pub faktory_address: Option<SocketAddr>,
     pub log: Events,
-    /// The path of its configuration file, and its `$TMPDIR`.
+    /// The path of its configuration file.
     pub config: PathBuf,
+    /// Its `$TMPDIR`.
     pub temp_dir: PathBuf,
 }
 
