--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! A hollow dispatcher: the program's own reducer, links, discovery and front, assembled as the program does
 //! and on real sockets; only its clients' requests are passed in within the process. Each runs in a
 //! `LocalSet` of its own, so that killing it ends all its tasks and sockets at once, as the system does with
-//! a process.
+//! a process. Nothing that the program does may be implemented differently here.
 //!
 //! Its results are no evidence for the following, which must be measured with a real dispatcher:
 //! - **client connections**: there are none, so neither their descriptors and memory nor the cost of reading
--- a/lab/src/scale/layout.rs
+++ b/lab/src/scale/layout.rs
@@ -119,7 +119,8 @@
     let weight_sum: f64 = (0..quantities.tenants).map(|n| 1.0 / (n as f64 + 10.0)).sum();
     let project = |n: usize| {
         let share = 1.0 / (n as f64 + 10.0) / weight_sum;
-        // Three times the mean rate, so that quotas are enforced but bursts rarely meet them.
+        // Three times the mean rate: quotas are enforced, but are not the subject of the run, so bursts should
+        // rarely meet them.
         json!({"name": format!("tenant-{n}"), "share": share, "quotaPerS": (share * quantities.rate_per_s * 3.0).max(0.1)})
     };
     let names = |zones: &[Zone]| zones.iter().map(|zone| zone.name.clone()).collect::<Vec<_>>();
