--- a/node/src/assembly.rs
+++ b/node/src/assembly.rs
@@ -28,14 +28,14 @@
     store: Option<keys::Store>,
 ) -> Result<Rc<Runtime>, String> {
     let seed = config.seed()?;
-    let deadlines = settings.clone();
+    let initial_settings = settings.clone();
     let mut core = Core::new(settings, tables, config.discovery, seed, clock.now(), limits.max_open)
         .map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
     if let Some(store) = store {
         core.set_key_store(store);
     }
     let runtime = Runtime::new(core, clock, limits);
-    runtime.update_longest_deadline(&deadlines);
+    runtime.update_longest_deadline(&initial_settings);
     runtime.register_classes();
     Ok(runtime)
 }
@@ -49,7 +49,8 @@
     (runners, discovery)
 }
 
-/// Starts the dispatcher: requests the runner list, runs the timers and serves the listener.
+/// Starts the dispatcher: requests the runner list, runs the timers and serves the listener. `known` is a
+/// list saved before the start, used until a current one arrives.
 pub fn start(
     runtime: &Rc<Runtime>,
     discovery: &DiscoveryClient,
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -19,6 +19,7 @@
     pub discovery: SocketAddr,
     pub seed: String,
     pub limits: Machine,
+    /// A runner list saved before the start, if there is one.
     #[serde(default)]
     pub known: Option<hosts::Hosts>,
     /// The address of the admin socket, if there is one. `$NODE_ADMIN_ADDR` overrides it.
@@ -64,14 +65,14 @@
 pub fn read_config() -> Result<(Config, Value), String> {
     let path = std::env::var("NODE_CONFIG").map_err(|_| "NODE_CONFIG is not set".to_owned())?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))?;
-    let mut json = serde_json::Deserializer::from_str(&text);
-    let config: Config = serde_path_to_error::deserialize(&mut json)
+    let mut deserializer = serde_json::Deserializer::from_str(&text);
+    let config: Config = serde_path_to_error::deserialize(&mut deserializer)
         .map_err(|e| format!("NODE_CONFIG: {}: {}", e.path(), e.inner()))?;
-    let text = serde_json::from_str(&text).map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    Ok((config, text))
+    let json = serde_json::from_str(&text).map_err(|e| format!("NODE_CONFIG: {e}"))?;
+    Ok((config, json))
 }
 
-/// The parts of the configuration that only take effect at the start, as JSON pointers.
+/// The parts of the configuration whose changes only take effect at the next start, as JSON pointers.
 const READ_AT_START: [&str; 6] = [
     "/name",
     "/listen",
@@ -83,22 +84,22 @@
 
 /// Reloads the configuration: the address of discovery and the settings may have changed. An invalid or
 /// partially written file changes nothing.
-pub fn reload(runtime: &Runtime, text: &mut Value, key_config: Option<&operator::Keys>) {
-    if let Err(e) = read_config().and_then(|read| apply_config(runtime, text, read, key_config)) {
+pub fn reload(runtime: &Runtime, current: &mut Value, key_config: Option<&operator::Keys>) {
+    if let Err(e) = read_config().and_then(|read| apply_config(runtime, current, read, key_config)) {
         Metrics::add(&runtime.metrics.conf_invalid);
         log::error!("configuration not reloaded, the previous one stays in use: {e}");
     }
 }
 
-/// Applies a configuration that was read while the program runs. `text` is the JSON of the configuration in
-/// force, and is replaced by the new one.
+/// Applies a configuration that was read while the program runs. `current` is the JSON of the configuration
+/// in force, and is replaced by the new one.
 ///
 /// # Errors
 ///
 /// Names the invalid setting; nothing has changed then.
 pub fn apply_config(
     runtime: &Runtime,
-    text: &mut Value,
+    current: &mut Value,
     (config, new): (Config, Value),
     key_config: Option<&operator::Keys>,
 ) -> Result<(), String> {
@@ -106,12 +107,12 @@
     Metrics::add(&runtime.metrics.conf_loaded);
     log::info!("configuration reloaded, discovery at {}", config.discovery);
     for key in READ_AT_START {
-        if new.pointer(key) != text.pointer(key) {
+        if new.pointer(key) != current.pointer(key) {
             let key = key.trim_start_matches('/').replace('/', ".");
             log::warn!("NODE_CONFIG: {key}: has changed, which takes effect at the next start");
         }
     }
-    if new["settings"] != text["settings"] {
+    if new["settings"] != current["settings"] {
         let rules = key_config.map_or_else(Vec::new, |key_config| key_config.rules(&settings.classes));
         let accept_removed_until =
             runtime.clock.now() + sr::Span(runtime.limits.removed_class_grace.as_nanos() as u64);
@@ -122,7 +123,7 @@
         runtime.register_classes();
         log::info!(classes = classes.as_str(), attempts = attempts; "new settings are in use");
     }
-    *text = new;
+    *current = new;
     runtime.feed(Input::DiscoveryMoved(config.discovery));
     Ok(())
 }
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -34,7 +34,7 @@
     sent_at: sr::Time,
     /// False only if the attempt provably never ran.
     may_have_run: bool,
-    /// What its runner may still report after the attempt has ended.
+    /// What its runner may still report once the attempt has ended.
     late_report: LateReport,
 }
 
@@ -51,6 +51,7 @@
 
 /// The idempotency key of a request that is not answered yet.
 struct PendingKey {
+    /// The tenant that the key belongs to.
     member: keys::Member,
     text: Rc<str>,
 }
@@ -67,12 +68,14 @@
     /// When an earlier try of the request, which may have run, was sent.
     prior_sent: Option<sr::Time>,
     answered: bool,
+    /// All attempts so far, by number, including those that have ended.
     attempts: Vec<Attempt>,
 }
 
 /// Counters for the log's summary line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
+    /// All requests that arrived, including those refused at once.
     pub taken: u64,
     pub served: u64,
     pub refused: u64,
@@ -116,7 +119,7 @@
     list_entries: BTreeMap<(Source, u32), sr::ListEntry>,
     /// Manually disabled runners: the balancer sees them as draining, whatever the lists say.
     disabled: BTreeSet<u32>,
-    /// The listed runners, and whether each is disabled or draining.
+    /// The listed runners, and whether each is excluded: disabled, or draining on every list that names it.
     listed_runners: BTreeMap<u32, bool>,
     /// Events for the balancer that its own actions caused.
     pending_events: VecDeque<sr::Event>,
@@ -226,11 +229,11 @@
             Input::ListFailed => self.notify(now, sr::Event::ListFailed),
             Input::ListSilent => self.notify(now, sr::Event::ListSilent),
             Input::Reconfigure(reconfiguration) => self.reconfigure(now, *reconfiguration),
-            Input::DiscoveryMoved(at) => {
+            Input::DiscoveryMoved(address) => {
                 // Subscribes at once: the balancer would only ask again after the old watch has gone silent.
-                if self.discovery != at {
-                    self.discovery = at;
-                    self.effects.push(Effect::Subscribe(at));
+                if self.discovery != address {
+                    self.discovery = address;
+                    self.effects.push(Effect::Subscribe(address));
                     self.notify(now, sr::Event::DiscoveryMoved);
                 }
             }
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -6,7 +6,8 @@
 
 impl<J: Clone> Core<J> {
     /// Returns the live attempt that a runner's report is about. Request id and runner name must both match
-    /// an attempt that has not ended, so that late, repeated and cancelled attempts' reports are ignored.
+    /// an attempt that has not ended, so that reports that are late, repeated or about a cancelled attempt
+    /// are ignored.
     pub(super) fn live_attempt(&self, id: &str, from: &str) -> Option<AttemptId> {
         let (&request, runner) = (self.requests_by_id.get(id)?, self.tables.workers.get(from)?);
         let attempts = &self.requests.get(&request)?.attempts;
@@ -22,8 +23,8 @@
     }
 
     /// Handles a runner's report of how a job ended. If an earlier attempt at the same runner may have caused
-    /// a failure report, the live attempt may still be running, so it is cancelled as timed out. A result is
-    /// used in either case.
+    /// a failure report, the report proves nothing about the live attempt, which may still be running: that
+    /// is cancelled as timed out. A result is used in either case.
     pub(super) fn handle_finished(&mut self, now: sr::Time, attempt: AttemptId, end: AttemptEnd) {
         let AttemptId { request, number } = attempt;
         let Some(attempts) = self.requests.get(&request).map(|r| &r.attempts) else { return };
--- a/node/src/core/digest.rs
+++ b/node/src/core/digest.rs
@@ -18,7 +18,7 @@
 impl Digest {
     /// Whether a frame came within the last `max_silence`.
     fn is_fresh(&self, now: sr::Time) -> bool {
-        self.last_frame_at.is_some_and(|heard| now - heard <= self.max_silence)
+        self.last_frame_at.is_some_and(|last| now - last <= self.max_silence)
     }
 }
 
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Applies a frame. After a gap, the frame and everything received before it are discarded, and the full
-    /// digest is requested.
+    /// Applies a frame. After a gap, neither the frame nor what was received before it is trusted any more,
+    /// and the full digest is requested.
     pub(super) fn handle_digest(&mut self, now: sr::Time, frame: &Frame) {
         let Some(digest) = &mut self.digest else { return };
         match digest.follower.apply(frame) {
--- a/node/src/core/disabled.rs
+++ b/node/src/core/disabled.rs
@@ -9,9 +9,9 @@
     /// The number of listed runners, and of those that are avoided now: disabled, draining, or avoided by
     /// the balancer.
     pub fn runner_counts(&self) -> (usize, usize) {
-        let avoided =
-            |(worker, avoided): &(&u32, &bool)| **avoided || self.balancer.avoids(sr::WorkerId(**worker));
-        (self.listed_runners.len(), self.listed_runners.iter().filter(avoided).count())
+        let is_avoided =
+            |(worker, excluded): &(&u32, &bool)| **excluded || self.balancer.avoids(sr::WorkerId(**worker));
+        (self.listed_runners.len(), self.listed_runners.iter().filter(is_avoided).count())
     }
 
     /// The names of the disabled runners.
@@ -62,12 +62,13 @@
         entries
     }
 
-    /// Updates the listed runners, and whether each is avoided, after a list or a manual change.
+    /// Updates the listed runners, and whether each is excluded (disabled or draining), after a list or a
+    /// manual change.
     pub(super) fn update_listed_runners(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
         for ((_, worker), entry) in &self.list_entries {
-            let avoided = self.disabled.contains(worker) || entry.state != sr::WorkerState::Ready;
-            *listed.entry(*worker).or_insert(true) &= avoided;
+            let excluded = self.disabled.contains(worker) || entry.state != sr::WorkerState::Ready;
+            *listed.entry(*worker).or_insert(true) &= excluded;
         }
         self.listed_runners = listed;
     }
--- a/node/src/core/idempotency.rs
+++ b/node/src/core/idempotency.rs
@@ -1,5 +1,6 @@
 //! Idempotency keys in the core: which classes use them, how a known key decides the answer to its request,
-//! and where a request under a key may have run. The key store holds the keys themselves.
+//! and where a request under a key may have run. A request that its key rejects is never sent. The key store
+//! holds the keys themselves.
 
 use super::{Answer, Core, Request};
 use sablerun as sr;
--- a/node/src/core/input.rs
+++ b/node/src/core/input.rs
@@ -72,9 +72,9 @@
 pub enum Answer {
     /// The runner's result.
     Served(Bytes),
-    /// Not executed: safe to retry after this time.
+    /// Refused: a retry is harmless, but only after this time.
     Refused(sr::Span),
-    /// Failed: the request may have run.
+    /// Failed: nothing is promised. The request may have run, so a retry may do harm.
     Failed(&'static str),
     /// Rejected as invalid: never accepted.
     Unfit(&'static str),
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -11,7 +11,8 @@
 pub struct Reconfiguration {
     pub settings: sr::Settings,
     pub tables: Tables,
-    /// The retention rule of idempotency keys for each of these classes; empty if keys are disabled.
+    /// The retention rule of idempotency keys for each of these classes; empty if keys are disabled. Applied
+    /// to new classes only: existing ones keep theirs.
     pub rules: Vec<keys::Retention>,
     /// Until when a removed class is still accepted, for requests on their way and clients that do not know
     /// the new settings yet.
@@ -38,6 +39,7 @@
         self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let reconciled = reconcile(&self.settings, &mut self.tables, settings, &tables);
+        // Set by the load digest, not by the configuration.
         let report_age_s = self.settings.report_age_s;
         self.settings = sr::Settings { report_age_s, ..reconciled.settings };
         for (number, rule) in reconciled.classes.iter().zip(rules) {
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -8,8 +8,9 @@
 use sablerun_keys as keys;
 
 impl<J: Clone> Core<J> {
-    /// Admits a new request. It is refused if too many are open, and fails if its id is in use. If it has a
-    /// key, the key store decides whether it starts, joins another request or is answered at once.
+    /// Admits a new request. It is refused if too many are open, and fails if its id is in use, unless by an
+    /// unanswered request under the same key. If it has a key, the key store decides whether it starts, joins
+    /// another request or is answered at once.
     pub(super) fn handle_arrival(&mut self, now: sr::Time, arrival: Arrival<J>) {
         self.tally.taken += 1;
         let Arrival { ticket, id, class, tenant, deadline, slots, memory, estimate, retry, key, job } =
--- a/node/src/jobs_cli.rs
+++ b/node/src/jobs_cli.rs
@@ -266,8 +266,8 @@
         }
     }
     // Grants no leases and forgets nothing: the dispatcher that opens the store next does that.
-    let rules = LedgerConfig { max_leases: 0, retention: sr::Span(u64::MAX), ..LedgerConfig::default() };
-    let ledger = Ledger::load(rules, 0, unix_now(), loaded.next_id, loaded.jobs);
+    let config = LedgerConfig { max_leases: 0, retention: sr::Span(u64::MAX), ..LedgerConfig::default() };
+    let ledger = Ledger::load(config, 0, unix_now(), loaded.next_id, loaded.jobs);
     let mut ledger = ledger.map_err(|e| format!("{}: {e}", file.display()))?;
     let mut changes: Vec<Change> = Vec::new();
     for id in ids {
--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -44,7 +44,8 @@
     pub max_connection_age: Duration,
     /// Shortest idle time after which a connection to a runner may be closed to make room.
     pub evict_idle_after: Duration,
-    /// Interval of periodic maintenance.
+    /// Interval of periodic checks for what changes with time alone. Also the shortest idle time after which
+    /// a client's connection that has carried requests or call-backs may be closed to make room.
     pub sweep_interval: Duration,
     /// Time for which a worker may keep running a job for which no client waits any more.
     pub orphan_timeout: Duration,
@@ -140,7 +141,8 @@
             idle_timeout: idle * 7 / 10,
             probe_timeout: Duration::from_millis(500),
             cancel_timeout: Duration::from_secs(1),
-            // A call that fails after this time leaves time for another; see docs/design/fleet.md.
+            // A call that fails after this time leaves time for another; docs/design/fleet.md has the
+            // calculation.
             list_timeout: Duration::from_millis(1500),
             // An empty line comes every 2 s. A change that a silent watch misses counts as delivered after
             // 6 s.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -75,25 +75,26 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
     let operator = operator.as_deref().map_or(Ok(Operator::default()), Operator::read)?;
-    let (config, mut text) = read_config()?;
+    let (config, mut config_json) = read_config()?;
     let (settings, tables) = config.to_settings()?;
-    let agent = settings.discovery == sr::Discovery::Agent;
+    let has_agent = settings.discovery == sr::Discovery::Agent;
     config.seed()?;
     let machine = &config.limits;
     operator.check(&tables, machine.memory_mb).map_err(|e| format!("--config: {e}"))?;
-    let Operator { faktory: gateway, keys: key_config, digest } = operator;
-    let bounds = key_config.as_ref().map(|keys| keys.bounds(sr::Span::from_secs(0.25)));
-    let limits = Limits::new(machine.sockets, machine.memory_mb, &config.settings, gateway.is_some());
-    let limits = limits.with_keys(bounds);
+    let Operator { faktory: faktory_config, keys: key_config, digest } = operator;
+    let key_bounds = key_config.as_ref().map(|keys| keys.bounds(sr::Span::from_secs(0.25)));
+    let limits = Limits::new(machine.sockets, machine.memory_mb, &config.settings, faktory_config.is_some());
+    let limits = limits.with_keys(key_bounds);
     let rules = key_config.as_ref().map(|keys| keys.rules(&settings.classes));
-    let doubts: Vec<_> =
-        key_config.iter().flat_map(|k| settings.classes.iter().map(|c| k.doubt(c))).collect();
+    let doubt_periods: Vec<_> =
+        key_config.iter().flat_map(|k| settings.classes.iter().map(|c| k.doubt_period(c))).collect();
     let snapshot_file = key_config.as_ref().and_then(|keys| keys.snapshot.clone());
     let clock = Clock::new();
     let store = limits.key_bounds.zip(rules).map(|(bounds, rules)| keys::Store::new(bounds, rules));
     let locked_snapshot = snapshot_file.as_ref().map(snapshots::LockedSnapshot::lock).transpose()?;
-    let store =
-        store.map(|store| snapshots::restore(store, &doubts, &tables, locked_snapshot.as_ref(), clock.now()));
+    let store = store.map(|store| {
+        snapshots::restore(store, &doubt_periods, &tables, locked_snapshot.as_ref(), clock.now())
+    });
     let runtime = assembly::build_runtime(&config, (settings, tables), clock, limits, store)?;
     if let (Some(file), Some(snapshot)) = (&locked_snapshot, snapshots::capture(&runtime, false)) {
         // Before the first request: otherwise, after a kill, the successor would trust the snapshot of the
@@ -101,23 +102,25 @@
         file.write(&snapshot).map_err(|e| format!("keys.snapshot.file: {e}"))?;
     }
 
-    // Bound before anything serves, so that an invalid address makes the start fail.
-    let admin = match std::env::var("NODE_ADMIN_ADDR") {
+    // Bound before anything serves, so that an invalid address makes the start fail, with an error that names
+    // it.
+    let admin_address = match std::env::var("NODE_ADMIN_ADDR") {
         Ok(text) => Some(text.trim().parse().map_err(|e| format!("NODE_ADMIN_ADDR: {text:?}: {e}"))?),
         Err(_) => config.admin_addr,
     };
-    let admin_listener =
-        admin.map(|at| net::admin::bind(at).map_err(|e| format!("admin_addr: {at}: {e}"))).transpose()?;
+    let admin_listener = admin_address
+        .map(|at| net::admin::bind(at).map_err(|e| format!("admin_addr: {at}: {e}")))
+        .transpose()?;
 
     let (_, discovery) = assembly::connect(&runtime);
     if let Some(digest) = &digest {
         net::digest::DigestSubscriber::start(&runtime, digest);
     }
     let backlog = runtime.limits.backlog;
-    let faktory = gateway.map(|gateway| {
-        let at = gateway.listen;
-        let front = Faktory::new(&runtime, gateway)?;
-        Ok((front, platform::listen(at, backlog).map_err(|e| format!("listen: {at}: {e}"))?))
+    let faktory = faktory_config.map(|config| {
+        let address = config.listen;
+        let front = Faktory::new(&runtime, config)?;
+        Ok((front, platform::listen(address, backlog).map_err(|e| format!("listen: {address}: {e}"))?))
     });
     let faktory = faktory.transpose().map_err(|e: String| format!("--config: faktory: {e}"))?;
     // Socket activation: if the platform holds the clients' socket, a process that replaces another one takes
@@ -130,11 +133,12 @@
         }
     };
 
-    // An agent's list is authoritative from the start, so a previously known list is not used.
-    let known = config.known.filter(|_| !agent);
-    let bound = listener.local_addr().ok();
+    // If the machine's own agent provides the list, that one is authoritative from the start, so a previously
+    // known list is not used.
+    let known = config.known.filter(|_| !has_agent);
+    let bound_address = listener.local_addr().ok();
     let front = assembly::start(&runtime, &discovery, known, listener);
-    let listen = bound.unwrap_or(config.listen);
+    let listen = bound_address.unwrap_or(config.listen);
     if let Some(listener) = admin_listener {
         let at = listener.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
         let (sender, requests) = tokio::sync::mpsc::unbounded_channel();
@@ -152,7 +156,7 @@
                 shared_runtime.update_runner_metrics();
             }
         });
-        // Only once the admin socket is served, so that processes that find the entry get an answer.
+        // Only once the admin socket is served, so that processes that read the registry get an answer.
         match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.forward_timeout) {
             Ok(peers) => front.forward_call_backs_to(peers),
             Err(e) => log::warn!("call-backs are not forwarded during an upgrade: $TMPDIR: {e}"),
@@ -174,7 +178,7 @@
     });
     let reloaded_runtime = runtime.clone();
     let mut reload_all = move || {
-        reload(&reloaded_runtime, &mut text, key_config.as_ref());
+        reload(&reloaded_runtime, &mut config_json, key_config.as_ref());
         if let Some(front) = &faktory {
             front.reload();
         }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,13 +1,14 @@
 //! Metrics that operators read from the admin socket: jobs answered, deferred and errored by class, attempts
 //! sent, open jobs, runners listed and avoided, configurations loaded and rejected. Counters are updated on
-//! the serving thread where the event happens, and read from the admin socket's thread without a lock; only
-//! the lookup of a class takes the registry's lock.
+//! the serving thread where the event happens, and read from the admin socket's thread; they are atomic. The
+//! registry's lock is taken only to look up a class or to list the classes.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 
-/// Most classes counted. Names beyond that which clients make up are not counted.
+/// Once this many classes are counted, further class names that clients make up are not; configured classes
+/// always are.
 const MAX_CLASSES: usize = 64;
 
 /// How a job's final answer counts.
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -127,8 +127,8 @@
     ///
     /// Names the invalid key.
     pub fn check(&self, tables: &Tables, memory_mb: usize) -> Result<(), String> {
-        if let Some(gateway) = &self.faktory {
-            gateway.check(tables).map_err(|e| format!("faktory: {e}"))?;
+        if let Some(faktory) = &self.faktory {
+            faktory.check(tables).map_err(|e| format!("faktory: {e}"))?;
         }
         if let Some(keys) = &self.keys {
             keys.check(memory_mb).map_err(|e| format!("keys: {e}"))?;
@@ -241,7 +241,7 @@
     /// For how long after a start a marked retry in a class may repeat a request that a predecessor sent to
     /// a location unknown to this process. Zero if all runners form one deduplication group, since then any
     /// runner drops the repeat.
-    pub fn doubt(&self, class: &sr::Class) -> sr::Span {
+    pub fn doubt_period(&self, class: &sr::Class) -> sr::Span {
         match class.idempotency {
             sr::Idempotency::Safe | sr::Idempotency::Keyed(sr::DedupScope::All) => sr::Span(0),
             _ => self.doubt_s.map_or(self.rule(class).uncertain_ttl, sr::Span::from_secs),
--- a/node/src/runtime.rs
+++ b/node/src/runtime.rs
@@ -162,8 +162,8 @@
                 }
                 None => {
                     log::warn!("no address known for runner {runner}: attempt not made");
-                    let ending = crate::core::AttemptEnd::without_report(sr::Outcome::ConnectFailed);
-                    self.feed(Input::AttemptEnded(attempt, ending));
+                    let end = crate::core::AttemptEnd::without_report(sr::Outcome::ConnectFailed);
+                    self.feed(Input::AttemptEnded(attempt, end));
                 }
             },
             Effect::Cancel(attempt) => {
@@ -171,12 +171,12 @@
                 self.links.borrow().iter().for_each(|link| link.cancel(attempt));
             }
             Effect::Forget(attempt) => self.links.borrow().iter().for_each(|link| link.forget(attempt)),
-            Effect::Subscribe(at) | Effect::Fetch(at) => {
+            Effect::Subscribe(address) | Effect::Fetch(address) => {
                 let source = self.list_source.borrow().clone();
-                log::debug!("call for the list at {at}");
+                log::debug!("call for the list at {address}");
                 match (source, effect) {
-                    (Some(source), Effect::Subscribe(_)) => source.subscribe(at),
-                    (Some(source), _) => source.fetch(at),
+                    (Some(source), Effect::Subscribe(_)) => source.subscribe(address),
+                    (Some(source), _) => source.fetch(address),
                     (None, _) => {}
                 }
             }
--- a/node/src/runtime/clock.rs
+++ b/node/src/runtime/clock.rs
@@ -12,16 +12,17 @@
 /// comparable with its own.
 pub struct Clock {
     started: Instant,
-    unix: u64,
+    /// The system's time at the start, in nanoseconds since the Unix epoch.
+    started_unix_ns: u64,
 }
 
 impl Clock {
     pub fn new() -> Clock {
-        Clock { started: Instant::now(), unix: unix_now().0 }
+        Clock { started: Instant::now(), started_unix_ns: unix_now().0 }
     }
 
     pub fn now(&self) -> sr::Time {
-        sr::Time(self.unix + self.started.elapsed().as_nanos() as u64)
+        sr::Time(self.started_unix_ns + self.started.elapsed().as_nanos() as u64)
     }
 
     /// Time since the start.
@@ -31,10 +32,10 @@
 
     /// Converts a time of this clock to an [`Instant`].
     pub fn instant(&self, at: sr::Time) -> Instant {
-        self.started + Duration::from_nanos(at.0.saturating_sub(self.unix))
+        self.started + Duration::from_nanos(at.0.saturating_sub(self.started_unix_ns))
     }
 
-    /// Converts Unix milliseconds; 0 means unknown (long ago) and gives `None`.
+    /// Converts Unix milliseconds; 0 means a time long past and gives `None`.
     pub fn unix_ms(&self, ms: u64) -> Option<sr::Time> {
         (ms > 0).then(|| sr::Time(ms.saturating_mul(1_000_000)))
     }
--- a/node/src/runtime/links.rs
+++ b/node/src/runtime/links.rs
@@ -31,9 +31,9 @@
 /// The connection to discovery.
 pub trait RunnerListSource {
     /// Watches the list at this address from now on.
-    fn subscribe(&self, at: SocketAddr);
+    fn subscribe(&self, address: SocketAddr);
     /// Fetches the full list from this address once.
-    fn fetch(&self, at: SocketAddr);
+    fn fetch(&self, address: SocketAddr);
     /// Whether discovery has delivered a list since the start.
     fn has_list(&self) -> bool;
 }
--- a/node/src/snapshots.rs
+++ b/node/src/snapshots.rs
@@ -1,6 +1,7 @@
 //! Snapshots of the idempotency keys on disk. A snapshot is written to a temporary file, synced and renamed,
 //! so that a kill at any moment leaves either the previous one or the new one. While the dispatcher serves,
-//! only a separate thread writes to the disk. A damaged file is not used, but renamed to `FILE.refused`.
+//! only a separate thread writes snapshots, so that the disk never blocks the serving thread. A damaged file
+//! is not used, but renamed to `FILE.refused`.
 
 use crate::operator::SnapshotFile;
 use crate::runtime::Runtime;
@@ -29,8 +30,8 @@
     /// # Errors
     ///
     /// States why it can't be used, and what to do.
-    pub fn lock(at: &SnapshotFile) -> Result<LockedSnapshot, String> {
-        let lock = sibling(&at.file, "lock");
+    pub fn lock(config: &SnapshotFile) -> Result<LockedSnapshot, String> {
+        let lock = sibling(&config.file, "lock");
         let open = OpenOptions::new().create(true).truncate(false).write(true).open(&lock);
         let lock_file = open.map_err(|e| {
             format!("keys.snapshot.file: {}: {e}; the folder must exist and be writable", lock.display())
@@ -42,8 +43,8 @@
             )
         })?;
         Ok(LockedSnapshot {
-            file: at.file.clone(),
-            interval: Duration::from_secs_f64(at.every_s),
+            file: config.file.clone(),
+            interval: Duration::from_secs_f64(config.every_s),
             _lock: lock_file,
         })
     }
@@ -106,11 +107,11 @@
 /// nothing any more.
 pub fn capture(runtime: &Runtime, last: bool) -> Option<Snapshot> {
     let taken_at = runtime.clock.now();
-    let (records, doubt) = runtime.with_keys(|core, store| {
+    let (records, rejects_unknown) = runtime.with_keys(|core, store| {
         (store.records(taken_at, |run| core.sent(run)), store.rejects_unknown_retries(taken_at))
     })?;
-    // While it is in doubt what the predecessor did, the snapshot is incomplete for the successor too.
-    let clean_shutdown = last && !doubt;
+    // While it is unknown what the predecessor sent, the snapshot is incomplete for the successor too.
+    let clean_shutdown = last && !rejects_unknown;
     let names = runtime.with_tables(|tables| Names {
         members: tables.tenants.all().to_vec(),
         classes: tables.classes.all().to_vec(),
@@ -182,11 +183,12 @@
     }
 }
 
-/// Restores a predecessor's keys into the store. Without a snapshot from an orderly shutdown, marks each
-/// class as in doubt for its time in `doubts`.
+/// Restores a predecessor's keys into the store. Without a snapshot from an orderly shutdown, marked
+/// retries under unknown keys fail for the time that `doubt_periods` gives for their class, since the
+/// predecessor may have sent their first tries.
 pub fn restore(
     mut store: keys::Store,
-    doubts: &[sr::Span],
+    doubt_periods: &[sr::Span],
     tables: &sablerun_settings::Tables,
     file: Option<&LockedSnapshot>,
     now: sr::Time,
@@ -194,8 +196,8 @@
     let snapshot = file.and_then(LockedSnapshot::read);
     let clean = snapshot.as_ref().is_some_and(|snapshot| snapshot.clean_shutdown);
     if !clean {
-        for (class, doubt) in doubts.iter().enumerate() {
-            store.reject_unknown_retries_until(class as u32, now + *doubt);
+        for (class, period) in doubt_periods.iter().enumerate() {
+            store.reject_unknown_retries_until(class as u32, now + *period);
         }
     }
     if let Some(snapshot) = snapshot {
