--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -109,7 +109,7 @@
         Err(_) => config.admin_addr,
     };
     let admin_listener = admin_address
-        .map(|at| net::admin::bind(at).map_err(|e| format!("admin_addr: {at}: {e}")))
+        .map(|address| net::admin::bind(address).map_err(|e| format!("admin_addr: {address}: {e}")))
         .transpose()?;
 
     let (_, discovery) = assembly::connect(&runtime);
@@ -140,7 +140,7 @@
     let front = assembly::start(&runtime, &discovery, known, listener);
     let listen = bound_address.unwrap_or(config.listen);
     if let Some(listener) = admin_listener {
-        let at = listener.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
+        let address = listener.local_addr().map_err(|e| format!("admin_addr: {e}"))?;
         let (sender, requests) = tokio::sync::mpsc::unbounded_channel();
         let limits = net::admin::AdminLimits::default();
         net::admin::start(listener, runtime.metrics.clone(), sender, limits)
@@ -157,11 +157,15 @@
             }
         });
         // Only once the admin socket is served, so that processes that read the registry get an answer.
-        match net::peers::PeerRegistry::register(std::env::temp_dir(), at, runtime.limits.forward_timeout) {
+        match net::peers::PeerRegistry::register(
+            std::env::temp_dir(),
+            address,
+            runtime.limits.forward_timeout,
+        ) {
             Ok(peers) => front.forward_call_backs_to(peers),
             Err(e) => log::warn!("call-backs are not forwarded during an upgrade: $TMPDIR: {e}"),
         }
-        log::info!("admin socket on {at}");
+        log::info!("admin socket on {address}");
     }
     runtime.metrics.ready.store(true, std::sync::atomic::Ordering::Relaxed);
     log::info!("{} ready on {listen}, discovery at {}", config.name, config.discovery);
