--- a/node/src/net/digest.rs
+++ b/node/src/net/digest.rs
@@ -37,10 +37,10 @@
             runtime: Rc::downgrade(runtime),
             client: pool.client(&runtime.limits),
             address: section.at,
-            silence_timeout: section.silent(),
+            silence_timeout: section.max_silence(),
             resync: Notify::new(),
         });
-        runtime.set_digest_source(digest.clone(), section.every(), sr::Span::from_secs(section.silent_s));
+        runtime.set_digest_source(digest.clone(), section.interval(), sr::Span::from_secs(section.silent_s));
         actix_rt::spawn(async move { digest.run().await });
     }
 
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -170,12 +170,12 @@
     }
 
     /// Time between two frames.
-    pub fn every(&self) -> sr::Span {
+    pub fn interval(&self) -> sr::Span {
         sr::Span::from_secs(self.every_s)
     }
 
     /// Time without a frame after which the digest is stale.
-    pub fn silent(&self) -> Duration {
+    pub fn max_silence(&self) -> Duration {
         Duration::from_secs_f64(self.silent_s)
     }
 }
