--- a/node/src/admin_calls.rs
+++ b/node/src/admin_calls.rs
@@ -32,7 +32,7 @@
     // First takes over what the other process of an upgrade has written since the last check, which the write
     // below would otherwise undo.
     sync_disabled(runtime, file);
-    // The answer to the caller keeps its own words for the action.
+    // The reply on the admin socket is read by tools and keeps its wording, which differs from the log's.
     let (action, answered) = if disabled { ("disabled", "taken out") } else { ("enabled", "put back") };
     if let Err(why) = runtime.set_disabled(runner.to_owned(), disabled, false) {
         log::warn!(runner = runner; "runner not {action}: {why}");
@@ -49,7 +49,7 @@
     if !runtime.has_request(&call_back.id) {
         return Err("no job of that id is under way here".to_owned());
     }
-    log::debug!("request {}: a call-back was handed on", call_back.id);
+    log::debug!("request {}: a call-back was forwarded by the other process", call_back.id);
     callbacks::apply(runtime, call_back);
     Ok(())
 }
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -51,7 +51,6 @@
 
 /// The idempotency key of a request that is not answered yet.
 struct PendingKey {
-    /// The tenant that the key belongs to.
     member: keys::Member,
     text: Rc<str>,
 }
@@ -68,7 +67,6 @@
     /// When an earlier try of the request, which may have run, was sent.
     prior_sent: Option<sr::Time>,
     answered: bool,
-    /// All attempts so far, by number, including those that have ended.
     attempts: Vec<Attempt>,
 }
 
@@ -95,7 +93,6 @@
     tables: Tables,
     /// Classes that the settings no longer name, each with the time until which it is still accepted.
     removed_classes: HashMap<u32, sr::Time>,
-    /// Whether a request must name its tenant.
     requires_tenant: bool,
     /// The address that serves the runner list.
     discovery: SocketAddr,
--- a/node/src/core/reconfigure.rs
+++ b/node/src/core/reconfigure.rs
@@ -39,7 +39,7 @@
         self.requires_tenant = !settings.tenants.is_empty();
         let before = self.settings.classes.len();
         let reconciled = reconcile(&self.settings, &mut self.tables, settings, &tables);
-        // Set by the load digest, not by the configuration.
+        // The report age follows the load digest, not the configuration.
         let report_age_s = self.settings.report_age_s;
         self.settings = sr::Settings { report_age_s, ..reconciled.settings };
         for (number, rule) in reconciled.classes.iter().zip(rules) {
--- a/node/src/limits.rs
+++ b/node/src/limits.rs
@@ -73,7 +73,7 @@
     pub key_bounds: Option<keys::Bounds>,
     /// Time for which a class that new settings no longer name is still accepted.
     pub removed_class_grace: Duration,
-    /// Age at which the runner metrics are updated.
+    /// Age from which the next input updates the runner metrics.
     pub runner_count_interval: Duration,
     /// Time for the other process of an upgrade to accept a forwarded call-back.
     pub forward_timeout: Duration,
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -117,9 +117,9 @@
         net::digest::DigestSubscriber::start(&runtime, digest);
     }
     let backlog = runtime.limits.backlog;
-    let faktory = faktory_config.map(|config| {
-        let address = config.listen;
-        let front = Faktory::new(&runtime, config)?;
+    let faktory = faktory_config.map(|faktory_config| {
+        let address = faktory_config.listen;
+        let front = Faktory::new(&runtime, faktory_config)?;
         Ok((front, platform::listen(address, backlog).map_err(|e| format!("listen: {address}: {e}"))?))
     });
     let faktory = faktory.transpose().map_err(|e: String| format!("--config: faktory: {e}"))?;
