--- a/benchlink/src/host.rs
+++ b/benchlink/src/host.rs
@@ -47,6 +47,7 @@
     }
 }
 
+/// Returns the outcome that a status on the wire stands for.
 fn outcome(status: u32) -> Result<sr::Outcome, String> {
     Ok(match status {
         0 => sr::Outcome::Ok,
@@ -82,6 +83,8 @@
         Ok(())
     }
 
+    /// Passes one event to its instance and appends the resulting actions to the reply; `start` is the
+    /// reply's length before the first action.
     fn handle_event(
         &mut self,
         now: sr::Time,
@@ -203,6 +206,7 @@
     }
 }
 
+/// Returns instance `i`; `event` names the event in the error message.
 fn find_instance<'a>(
     instances: &'a mut BTreeMap<u32, Instance>,
     i: u32,
@@ -211,6 +215,7 @@
     instances.get_mut(&i).ok_or_else(|| format!("{event}.i: instance {i} was never started"))
 }
 
+/// Appends an action as a message of the wire.
 fn write_action(i: u32, action: &sr::Action, workers: &NameTable, out: &mut String) {
     let result = match *action {
         sr::Action::Send(request, worker) => {
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -20,7 +20,7 @@
 #[derive(serde::Deserialize)]
 pub struct Text<'a>(#[serde(borrow)] pub Cow<'a, str>);
 
-/// An entry of a list page: worker, zone, kind, cell, state, share, up since.
+/// An entry of a list page: worker, zone, kind, cell, state, relative size, up since (in nanoseconds).
 #[derive(serde::Deserialize)]
 pub struct Entry(pub String, pub String, pub String, pub u32, pub String, pub Option<f64>, pub Option<u64>);
 
@@ -35,7 +35,7 @@
     Page(usize, Vec<Entry>),
     /// A list update: mode and page.
     Targets(u32, Text<'a>, Option<usize>),
-    /// A request has arrived.
+    /// A request has arrived. `needs` is its slots, `repeat` marks a retry, and times are in nanoseconds.
     JobIn {
         instance: u32,
         request: u32,
@@ -47,15 +47,15 @@
         needs: Option<f64>,
         tenant: Option<Text<'a>>,
     },
-    /// A request is closed.
+    /// The client no longer waits for this request.
     Dropped(u32, u32),
     /// A streamed answer has begun: request, attempt.
     Begun(u32, u32, u32),
-    /// A probe's result.
+    /// A probe's result; status 0 is success.
     Pong { instance: u32, worker: Text<'a>, status: u32, row: ReportRow },
-    /// An update on an attempt: request, attempt, kind, level.
+    /// An update on an attempt: request, attempt, kind (1 started, 2 progress), level (the fraction done).
     Change(u32, u32, u32, u32, Option<f64>),
-    /// An attempt's result.
+    /// An attempt's result; the status is the outcome's number.
     Done { instance: u32, request: u32, attempt: u32, closed: bool, status: u32, row: ReportRow },
     /// A timer: token.
     TimeoutFired(u32, u64),
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -15,9 +15,10 @@
 
 use state::*;
 
-/// Running time at the fleet's mean pace per second of hint, until finished jobs show the actual ratio.
+/// Running time at the mean pace of the fleet (all workers) per second of hint, until finished jobs show the
+/// actual ratio.
 const HINT_SCALE_PRIOR: f64 = 1.25;
-/// Wait before a suspect worker gets a trial request, in seconds.
+/// Wait before a suspect worker gets a trial request, the first or another, in seconds.
 const TRIAL_WAIT_S: f64 = 1.0;
 /// Age of a worker's last report, in seconds, beyond which it is probed where probes exist (the paper's psi).
 const STALE_REPORT_S: f64 = 2.0;
@@ -26,8 +27,8 @@
 /// Half-life, in seconds, of failure rates, of the rate of repeated errors and of the tenants' use of their
 /// quotas.
 const RATE_HALF_LIFE_S: f64 = 10.0;
-/// Failure rate from which a worker counts as failing, and rate of repeated errors above which an error
-/// counts as caused by the request itself.
+/// Failure rate, beyond that of the best worker, from which a worker is not ready for a class; also the rate
+/// of repeated errors above which an error counts as caused by the request itself.
 const FAILING_RATE: f64 = 0.5;
 /// Gap between events, in seconds, beyond which this dispatcher may have stalled.
 const STALL_GAP_S: f64 = 0.3;
@@ -76,10 +77,11 @@
     pending: BTreeSet<(bool, u64, RequestId)>,
     /// Whether a timer for the next pass over the queue is set.
     dispatch_timer_set: bool,
-    /// Mean work of arrivals, in slots times seconds: an average that began at 0.1, and one that began at the
-    /// mean of the classes' objectives.
+    /// Mean work of arrivals, in slots times seconds: an average that began at 0.1, used for queues and
+    /// reports, and one that began at the mean of the classes' objectives, used for cold-start tokens.
     mean_work: [f64; 2],
-    /// Running time at the fleet's mean pace per second of hint, and the number of samples.
+    /// Running time at the fleet's mean pace per second of hint, and the number of samples; the prior counts
+    /// as ten.
     hint_scale: (f64, f64),
     /// Latency reported by a worker of mean pace, in seconds; zero until there is a report.
     base_latency_s: f64,
@@ -87,7 +89,7 @@
     recent_requests: VecDeque<Time>,
     /// Times of retries within the retry budget's window.
     recent_retries: VecDeque<Time>,
-    /// Share of recent attempts that started late, in the local and in remote zones.
+    /// Share of recent attempts that started late or not at all, in the local and in remote zones.
     late_start_rates: [f64; 2],
     /// Share of recent attempts rejected as full.
     full_rate: f64,
@@ -98,7 +100,7 @@
     /// Share of errors that occurred again at another worker, and the time of its update in seconds since the
     /// start.
     repeat_error_rate: (f64, f64),
-    /// Idle time that connections have been found to survive, in seconds.
+    /// Idle time that connections have been found to survive, in seconds; infinite until one has not.
     safe_idle_s: f64,
     /// Backoff before the next request for the list, in seconds; zero after a list has arrived.
     list_backoff_s: f64,
@@ -157,7 +159,7 @@
         self.now = now;
         self.now_s = (now - self.start).secs();
         if !std::mem::replace(&mut self.started, true) {
-            // Requests the list where it is not pushed, and starts probing after a random delay.
+            // Requests the list where it is not pushed, and starts probing after a random delay of its own.
             self.list_lost(&Event::ListFailed);
             if self.settings.probing {
                 let wait = Span::from_secs(STALE_REPORT_S * self.rng.f64());
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -35,7 +35,8 @@
         } else {
             mean_time
         };
-        // Latest start that spends the objective and this share of the job's stretch on waiting.
+        // Latest start that spends the objective and this share of the job's stretch on waiting, earlier
+        // tries included.
         let start_within = |share: f64| {
             let slack_s =
                 settings.objective.secs() + share * (settings.stretch - 1.0).max(0.0) * mean_time.max(work);
@@ -87,7 +88,7 @@
     }
 
     /// Whether the tenant's requests exceed its share of what arrives here, by a token bucket. Which part of
-    /// the fleet's traffic arrives here has to be estimated: the median tenant is most likely within its
+    /// all dispatchers' traffic arrives here has to be estimated: the median tenant is most likely within its
     /// share, and uses most of the part of its quota that is due here.
     fn exceeds_share(&mut self, tenant: usize, is_retry: bool) -> bool {
         let now = self.now_s;
@@ -116,6 +117,7 @@
     pub(super) fn dispatch_pending(&mut self) {
         let queue: Vec<_> = self.pending.iter().copied().collect();
         // Profiles of requests that found no worker: another of the same profile would find none either.
+        // After eight of them the pass sends no more.
         let mut unserved = Vec::new();
         for (_, _, id) in queue {
             let request = &self.requests[&id];
--- a/src/balance/estimates.rs
+++ b/src/balance/estimates.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Weight of the pace of a worker's group against the worker's own, in jobs.
+/// Weight of the pace of a worker's group against the worker's own, in jobs; also that of the fleet's mean
+/// pace against the group's.
 const GROUP_PRIOR_JOBS: f64 = 4.0;
 /// Half-life of a worker's pace, in seconds (used in place of the paper's m jobs).
 const PACE_HALF_LIFE_S: f64 = 6.0;
@@ -11,7 +12,7 @@
 const OTHER_SLOTS_FADE_S: f64 = 30.0;
 /// Weights of observations of other dispatchers' slots: the gain of an observation in its group's estimate,
 /// and the largest part of its weight that a report loses. It loses more the older it may be, compared with
-/// the mean work.
+/// the mean work, and all of that part where reports arrive by chance.
 const OBSERVATION_WEIGHTS: (f64, f64) = (0.2, 0.5);
 
 impl Balancer {
@@ -133,7 +134,7 @@
 
     /// Records whether an attempt failed, by error or without a start (`failed` is 1 or 0), in the failure
     /// rates at these indices. Guards against workers that fail fast, for one class or for all, and so seem
-    /// idle; may do harm in a full fleet.
+    /// idle; may do harm in a full fleet. Also updates the lowest error rate of a worker in use.
     pub(super) fn record_result(&mut self, worker: usize, rate_indices: &[usize], failed: f64) {
         for rate_index in rate_indices {
             let before = self.failure_rate(worker, *rate_index);
--- a/src/balance/list.rs
+++ b/src/balance/list.rs
@@ -6,7 +6,7 @@
 /// Slots that a worker is assumed to have until starts or reports in its group show otherwise.
 const SLOTS_PRIOR: f64 = 5.0;
 /// Most dispatchers that may probe a worker, or request the list after the first backoff, at the full rate.
-/// In a larger fleet each does so less often.
+/// If there are more, each does so less often.
 const FULL_RATE_DISPATCHERS: f64 = 8.0;
 
 impl Balancer {
@@ -45,8 +45,8 @@
             let still_drained = only_draining && !restarted && self.workers[index].drained;
             let back = self.workers[index].drained && !still_drained && entry.state == WorkerState::Ready;
             if restarted || !was_listed {
-                // Estimates of an earlier process do not apply to a new one. Outstanding attempts still
-                // count.
+                // Estimates of an earlier process do not apply to a new one, but its transfer time does.
+                // Outstanding attempts still count.
                 let age_s = entry.up_since.map_or(0.0, |up| (self.now - up).secs());
                 let offset = f64::from(self.settings.number) / f64::from(self.settings.dispatchers);
                 let w = &mut self.workers[index];
@@ -59,7 +59,8 @@
                     ..Worker::default()
                 };
                 // The dispatchers begin with different fractions of a token, which also differ by worker, so
-                // that they do not get their tokens for it at the same time.
+                // that they do not get their tokens for it at the same time. Tokens accrue from the start of
+                // the process.
                 w.cold_tokens.0 = (offset + 0.618 * index as f64).fract();
                 w.cold_tokens_at = self.now_s - age_s;
             }
@@ -76,10 +77,11 @@
 
     /// Handles the loss of the list's watch: starts the list's expiry and requests the list again, several
     /// times until it expires, then rarely. Further failures do not prolong its validity, except by the
-    /// simulator's rule.
+    /// simulator's rule. A pushed list neither expires nor is requested.
     pub(super) fn list_lost(&mut self, event: &Event) {
         let Settings { discovery, validity_after_silence, validity_after_loss, .. } = self.settings;
         let validity = if *event == Event::ListSilent { validity_after_silence } else { validity_after_loss };
+        // Changes that an agent holds count as reported, so the list expires at once and is soon requested.
         let (validity, backoff_factor) =
             if discovery == Discovery::Agent { (Span(0), 0.5) } else { (validity, 2.0) };
         let running_expiry =
@@ -91,8 +93,9 @@
             let backoff_s = self.list_backoff_s.max(0.2);
             let max_wait_s =
                 if left_s > 0.0 { backoff_s.max(left_s / 3.0) } else { backoff_s * backoff_factor };
-            let wait =
-                Span::from_secs((backoff_s.min(1.0) * self.fleet_factor()).min(max_wait_s) * self.rng.f64());
+            let wait = Span::from_secs(
+                (backoff_s.min(1.0) * self.dispatcher_factor()).min(max_wait_s) * self.rng.f64(),
+            );
             self.subscribe_pending = true;
             self.list_backoff_s = (backoff_s * 2.0).min(4.0);
             self.outbox.push(Action::Timer(self.now + wait, SUBSCRIBE_TIMER));
@@ -100,14 +103,14 @@
     }
 
     /// Returns the number of dispatchers in multiples of `FULL_RATE_DISPATCHERS`, at least 1.
-    pub(super) fn fleet_factor(&self) -> f64 {
+    pub(super) fn dispatcher_factor(&self) -> f64 {
         (f64::from(self.settings.dispatchers) / FULL_RATE_DISPATCHERS).max(1.0)
     }
 
-    /// Probes workers whose last report is old. A large fleet probes as often as `FULL_RATE_DISPATCHERS`
-    /// would.
+    /// Probes ready workers whose last report is old, so rarely that many dispatchers together probe a worker
+    /// no more often than `FULL_RATE_DISPATCHERS` would.
     pub(super) fn probe_stale(&mut self) {
-        let stale_s = STALE_REPORT_S * self.fleet_factor();
+        let stale_s = STALE_REPORT_S * self.dispatcher_factor();
         for (entry, w) in self.entries.iter().zip(&mut self.workers) {
             if w.listed
                 && !w.drained
@@ -122,7 +125,7 @@
     }
 
     /// Whether the list allows the worker. Draining always excludes it; being gone or missing does so unless
-    /// only draining excludes by the settings.
+    /// only draining excludes by the settings. An expired list allows no worker.
     pub(super) fn usable(&self, worker: usize) -> bool {
         let w = &self.workers[worker];
         let expiry = self.list_expiry.unwrap_or(Time(u64::MAX));
--- a/src/balance/outcomes.rs
+++ b/src/balance/outcomes.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Balancer {
-    /// Applies a start or progress update to an attempt and to the estimates of its worker.
+    /// Applies a start or progress update to an attempt and to the estimates of its worker, which is then no
+    /// longer suspect.
     pub(super) fn attempt_updated(&mut self, id: RequestId, number: u32, update: AttemptUpdate) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let class = request.class;
--- a/src/balance/price.rs
+++ b/src/balance/price.rs
@@ -4,8 +4,8 @@
 
 /// Lower bound of a price, in seconds (the paper's xi).
 const MIN_PRICE_S: f64 = 1e-4;
-/// Share of the load that a cold worker survives which the tokens of all dispatchers add up to. Many
-/// dispatchers do not need their part of it.
+/// The tokens of all dispatchers together allow this share of the load that a cold worker survives. Many
+/// dispatchers do not need theirs.
 const COLD_START_USE: f64 = 0.53;
 /// Share of its target within which a job with a hint must be expected to finish: hints and paces are
 /// imprecise.
@@ -15,7 +15,8 @@
 const CROSS_ZONE_MARGIN: f64 = 0.1;
 
 impl Balancer {
-    /// Returns the fraction of its capacity that a worker has during slow start, by its age; 1 thereafter.
+    /// Returns the fraction of its capacity that a worker has at least during slow start, by its age; 1
+    /// thereafter.
     pub(super) fn warm_up_fraction(&self, worker: usize) -> f64 {
         let age_s = self.entries[worker].up_since.map_or(f64::INFINITY, |up| (self.now - up).secs());
         let rise = (1.0 - self.settings.cold_from) * age_s / self.settings.warm_after.secs().max(1e-3);
@@ -82,7 +83,8 @@
 
     /// Returns the price in seconds: `C = (QL + 1) * PT + CD`, divided by the probability that the attempt
     /// succeeds. `QL` is the queue length in slots, `PT` the job's expected running time there, and `CD` the
-    /// time there and back plus the penalties for crossing zones and for a new connection.
+    /// time there and back plus the penalties for crossing zones and for a new connection, which are
+    /// fractions of the request's target.
     fn price(
         &self,
         request: &Request,
--- a/src/balance/retries.rs
+++ b/src/balance/retries.rs
@@ -8,9 +8,9 @@
 const OVERDUE_FACTORS: (f64, f64) = (1.4, 3.0);
 /// Share of lost answers above which the lower of these factors applies.
 const HIGH_LOSS_RATE: f64 = 0.3;
-/// Retry budget where the rules state none, needed because cancelled work may run on. May be too small when
-/// many workers hang.
-const DEFAULT_BUDGET: Budget = Budget { floor: 5.0, ratio: 0.1, window: Span(10_000_000_000) };
+/// Bound on moves and duplicates where the rules state no retry budget, needed because cancelled work may
+/// run on. May be too small when many workers hang. Retries from the queue count but are not limited by it.
+const DEFAULT_MOVE_BUDGET: Budget = Budget { floor: 5.0, ratio: 0.1, window: Span(10_000_000_000) };
 
 impl Balancer {
     /// Returns when the request's next attempt is within the budget that the rules state: now for a first
@@ -20,9 +20,14 @@
         if unlimited { Some(self.now) } else { self.retry_allowed_at() }
     }
 
-    /// Returns when another retry is within the budget, as of now; `None` if never.
+    /// Returns when another attempt beyond a request's first is within the budget, as of now; `None` if
+    /// never. Without a stated budget `DEFAULT_MOVE_BUDGET` applies, with a lower floor where there are many
+    /// dispatchers.
     pub(super) fn retry_allowed_at(&mut self) -> Option<Time> {
-        let default = Budget { floor: DEFAULT_BUDGET.floor / self.fleet_factor().sqrt(), ..DEFAULT_BUDGET };
+        let default = Budget {
+            floor: DEFAULT_MOVE_BUDGET.floor / self.dispatcher_factor().sqrt(),
+            ..DEFAULT_MOVE_BUDGET
+        };
         let Budget { floor, ratio, window } = self.settings.budget.unwrap_or(default);
         // Requests leave the window a tick early, and retries a tick late.
         let now = self.now;
@@ -121,7 +126,8 @@
             self.workers[worker].trial_at.get_or_insert(self.now_s + TRIAL_WAIT_S);
         }
         if !started {
-            // Without a start update in time, no slot is free: others hold those without an own running job.
+            // Without a start update in time, no slot is assumed free: other dispatchers hold all that this
+            // one's running jobs do not.
             let capacity = self.group(worker).slots;
             let w = &mut self.workers[worker];
             w.other_slots = w.other_slots.max(capacity - w.load.running_slots);
@@ -147,13 +153,14 @@
             self.refuse_or_fail(id);
             return;
         }
-        // Checks again after half of the time waited so far, so less and less often: each check costs a draw.
+        // Checks again after half of the patience or of the time waited so far, whichever is more, so less
+        // and less often: each check costs a draw.
         let half_wait = Span((self.now - last_update_at).0.max(patience.0) / 2);
         let wait = if started { half_wait } else { half_wait.min(cancel_at - self.now) };
         self.outbox.push(Action::Timer(self.now + wait.max(self.settings.tick), token));
     }
 
-    /// Returns how long after its start an attempt is overdue; sooner if answers were lost recently.
+    /// Returns how long after its start an attempt is overdue; sooner if many answers were lost recently.
     pub(super) fn overdue_after(&self, worker: usize, work: f64) -> Span {
         let factor = if self.loss_rate > HIGH_LOSS_RATE { OVERDUE_FACTORS.0 } else { OVERDUE_FACTORS.1 };
         Span::from_secs(work * self.pace(worker, 0.0) * factor + self.settings.tick.secs())
--- a/src/balance/state.rs
+++ b/src/balance/state.rs
@@ -24,8 +24,8 @@
 pub(super) struct Worker {
     /// This dispatcher's own attempts there.
     pub(super) load: Load,
-    /// At index 0 the rate of errors, then for each class the rate of attempts that failed or did not start;
-    /// each with the time at which it held.
+    /// At index 0 the share of answers that were errors, of all classes; then for each class the share of its
+    /// attempts that failed or did not start. Each with the time at which it held.
     pub(super) failure_rates: Vec<(f64, f64)>,
     /// Slots that other dispatchers took when last observed.
     pub(super) other_slots: f64,
@@ -33,7 +33,7 @@
     pub(super) other_slots_at: f64,
     /// Index into the balancer's groups.
     pub(super) group: usize,
-    /// Number of ended jobs, decayed since they ended.
+    /// Number of ended jobs, decayed since they ended; a report of the latency counts as one.
     pub(super) ended_jobs: f64,
     /// Sum of the times of these jobs in units of their expected running times, decayed likewise.
     pub(super) ratio_sum: f64,
@@ -45,11 +45,12 @@
     pub(super) reported_at: f64,
     /// Mean time of an attempt beyond the job itself, there and back, in seconds (`CD`).
     pub(super) transfer_s: f64,
-    /// Time of the last answer or update.
+    /// Time of the last answer or update; until there is one, of the list that named the process.
     pub(super) last_contact_at: f64,
     /// For each idle connection the time since which it has been idle, the newest last.
     pub(super) idle_since: Vec<f64>,
-    /// Set while the worker is suspect: when it may get a trial request.
+    /// Set while the worker is suspect, after a failed connection, a reset or silence: when it may get a
+    /// trial request.
     pub(super) trial_at: Option<f64>,
     /// Cold-start tokens, each good for a mean job, and how many of them can be saved up.
     pub(super) cold_tokens: (f64, f64),
@@ -70,11 +71,11 @@
     pub(super) key: (KindId, ZoneId),
     /// Usual time from a send to its start update, in seconds: over an open and over a new connection.
     pub(super) start_delays: [f64; 2],
-    /// Estimated slots of each worker.
+    /// Estimated slots of each worker; begins at `SLOTS_PRIOR`.
     pub(super) slots: f64,
-    /// Most slots that a worker has reported free.
+    /// Most slots that a worker has reported free, at least `SLOTS_PRIOR`.
     pub(super) max_free_slots: f64,
-    /// Number of ended jobs, decayed with each further one.
+    /// Number of ended jobs, decayed with each further one; a report of the latency counts as one.
     pub(super) ended_jobs: f64,
     /// Sum of the times of these jobs in units of their expected running times, decayed likewise.
     pub(super) ratio_sum: f64,
@@ -86,9 +87,10 @@
 
 /// Estimates of a class of request.
 pub(super) struct ClassStats {
-    /// Mean running time at the fleet's mean pace, in seconds, and the number of samples.
+    /// Mean running time at the fleet's mean pace, in seconds, and the number of samples. The objective
+    /// counts as the first.
     pub(super) mean_time: (f64, f64),
-    /// Longest time from an arrival to its deadline, in seconds.
+    /// Longest time from an arrival to its deadline, in seconds; at most the class's deadline.
     pub(super) max_window_s: f64,
 }
 
@@ -122,13 +124,14 @@
     pub(super) class: usize,
     /// Slots that it takes while it runs, by its slots or its memory, whichever is more.
     pub(super) slots: f64,
-    /// Expected running time at the fleet's mean pace, in seconds: by its hint, else its class's mean.
+    /// Expected running time at the fleet's mean pace, in seconds: by its hint, else its class's mean at its
+    /// arrival.
     pub(super) work: f64,
     /// Running time by the client's estimate, in seconds; zero if unknown.
     pub(super) hint: f64,
     /// When its first try arrived, by estimate.
     pub(super) arrived_s: f64,
-    /// Seconds from its arrival within which an answer is in time.
+    /// Seconds from `arrived_s` within which an answer is in time.
     pub(super) target_s: f64,
     /// When the client stops waiting.
     pub(super) deadline: Time,
@@ -136,13 +139,14 @@
     pub(super) max_attempts: usize,
     /// When it is too late to start it.
     pub(super) start_by: Time,
-    /// When an attempt that has not started is cancelled.
+    /// When the request is refused or failed, and its attempt cancelled, if that has not started.
     pub(super) cancel_at: Time,
     /// Whether it exceeds its tenant's share.
     pub(super) over_share: bool,
     /// Where an earlier try may have run.
     pub(super) prior: Option<PriorAttempt>,
-    /// Share of a worker's slots that it leaves to more valuable work when workers are full.
+    /// Share of a worker's slots that it leaves to more valuable work when all attempts are rejected as full;
+    /// less when fewer are.
     pub(super) yielded_share: f64,
     /// Order in the queue, the lowest first: work per unit of worth.
     pub(super) rank: u64,
