--- a/node/tests/bad_input.rs
+++ b/node/tests/bad_input.rs
@@ -160,8 +160,8 @@
     assert_eq!(read_answer(&idle).unwrap().status(), 200);
 }
 
-/// Many connections that send nothing: a later client gets a connection before they time out, and an existing
-/// one keeps its own.
+/// Hundreds of connections that send nothing (here 40, with 64 descriptors): a later client gets a connection
+/// before they time out, and an existing one keeps its own.
 #[test]
 fn silent_connections_do_not_block_clients() {
     let (_discovery, _runner, program) = one_runner_with_descriptors(64);
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,4 +1,8 @@
-//! Helpers shared by the integration tests: the lab's stand-ins and a program with one runner.
+//! Helpers shared by the integration tests: the lab's stand-ins and a program with one runner. A word in a
+//! job's body selects what the stand-in runner does with the job: `hang` accepts it and never calls back,
+//! `mute` gives no answer at all, `early` calls back before the 202, `away` answers 503 with
+//! `X-Not-Processed`, `unusable` answers 400, `reset` closes the connection, `error` calls back `failed`. Any
+//! other body is served.
 
 #![allow(unused_imports, dead_code, reason = "each test file uses its part")]
 
--- a/node/tests/connection_lifecycle.rs
+++ b/node/tests/connection_lifecycle.rs
@@ -93,7 +93,7 @@
 
     /// A head over the limit is never passed on whole, in whatever pieces it arrives.
     #[test]
-    fn a_head_has_its_limit(header in 0usize..400, piece in 1usize..100) {
+    fn a_head_over_the_limit_is_refused(header in 0usize..400, piece in 1usize..100) {
         let (bytes, head) = request(0, header, 0);
         let (mut lifecycle, mut forwarded, mut long) = (Lifecycle::default(), 0, false);
         for piece in bytes.chunks(piece) {
--- a/node/tests/digest/main.rs
+++ b/node/tests/digest/main.rs
@@ -81,7 +81,7 @@
         starts.push((simulation.started.values().sum::<usize>(), full.sum::<usize>()));
     }
     assert_eq!(starts[0], (20, 0), "with the digest");
-    assert!(starts[1].1 > 5, "for comparison, probe reports count only in part: {starts:?}");
+    assert!(starts[1].1 > 5, "for comparison, probe reports count by half: {starts:?}");
 }
 
 #[test]
--- a/node/tests/key_snapshots.rs
+++ b/node/tests/key_snapshots.rs
@@ -89,7 +89,7 @@
     // Runners call back to one address, which stays reserved for this program while it is down.
     let mut config = Program::config(halls.discovery.address, settings());
     config["listen"] = json!(sablerun_stand_ins::program::free_port().unwrap().to_string());
-    // The window outlasts the writes of a slow disk.
+    // The window is how long a key's result is kept: longer than a slow disk may take to write.
     for service in config["settings"]["services"].as_array_mut().unwrap() {
         service["window"] = json!(600_000_000_000_u64);
     }
--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The program on the platform's protocol over real sockets. Each test covers one pitfall of the protocol.
+//! The program on the platform's HTTP protocol over real sockets. Each test covers one pitfall of the protocol.
 
 mod common;
 
@@ -91,7 +91,7 @@
 fn a_refusal_has_a_retry_after_and_comes_before_the_deadline() {
     let discovery = Discovery::start(Vec::new());
     let program = Program::start(&discovery, settings(), None);
-    // Refused when its objective has passed, long before its deadline.
+    // Refused when its objective has passed, while its deadline is hours away.
     let answer = call(program.address, &api_request("pick-route", &new_id(), "7200000m", ""), "x");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.headers["retry-after"].parse::<f64>().unwrap(), 1.0);
--- a/node/tests/shutdown.rs
+++ b/node/tests/shutdown.rs
@@ -166,6 +166,7 @@
     program.signal("TERM");
     program.signal("HUP");
     program.signal("CONT");
+    // The longest deadline plus 0.4 s.
     let line = program.log.wait("shutting down", 1);
     assert!(line.contains("shutting down within 0.800 s"), "{line}");
     program.signal("TERM");
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -1,5 +1,5 @@
-//! Discovery through the machine's agent: what the agent has counts as reported to the dispatcher, watched or
-//! not, and from its start on. So nothing may be sent while there is no watch.
+//! Pushed lists, which come over a watch on the machine's own agent: what the agent has counts as reported to
+//! the dispatcher, watched or not, and from its start on. So nothing may be sent while there is no watch.
 
 mod common;
 
--- a/tests/list_validity.rs
+++ b/tests/list_validity.rs
@@ -23,6 +23,7 @@
     Busy,
     Reset,
     TimedOut,
+    /// Answered slowly, just within the timeout, and the watch ends 0.1 s later.
     AnsweredThenLost,
     AnsweredThenSilent,
     Answered,
@@ -175,8 +176,8 @@
     }
 }
 
-/// A list from before the start may have missed any change. Nothing is sent by it, however long discovery is
-/// unavailable; requests that can wait are sent by the first list from discovery.
+/// A list from before the start may have missed any change, also one made long before. Nothing is sent by it,
+/// however long discovery is unavailable; requests that can wait are sent by the first list from discovery.
 #[test]
 fn a_list_from_before_the_start_sends_nothing() {
     for (fleet_size, seed) in [(1, 1), (300, 2)] {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -87,7 +87,9 @@
     assert_eq!(world.requests[&RequestId(1)].attempts.len(), 1, "sent at once");
 }
 
-/// Retries are not served once their target has passed: in overload they would displace first tries.
+/// Retries are not served once their target has passed: in overload they would displace first tries. An
+/// unmarked request counts as a retry if it has more than a third of the class's time left: this one, with 3 s
+/// of 5 s, is 2 s old.
 #[test]
 fn a_retry_past_its_target_is_refused() {
     let mut world = two_workers(15);
