--- a/node/tests/platform.rs
+++ b/node/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The program on the platform's HTTP protocol over real sockets. Each test covers one pitfall of the protocol.
+//! The program on the platform's HTTP protocol over real sockets. Each test covers one pitfall
+//! of the protocol.
 
 mod common;
 
--- a/tests/list_failures.rs
+++ b/tests/list_failures.rs
@@ -95,8 +95,8 @@
 }
 
 /// Where only draining excludes workers, a list that reports all of them as gone, or omits them, stops no
-/// requests. A worker that has crashed meanwhile is detected by its failed connections. Once the list is right,
-/// that worker gets requests again, and the others keep their shares.
+/// requests. A worker that has crashed meanwhile is detected by its failed connections. Once the list is
+/// right, that worker gets requests again, and the others keep their shares.
 #[test]
 fn a_wrong_list_stops_nothing_and_a_crash_is_still_detected() {
     let mut world = World::new(lists_may_be_wrong(), 21);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -88,8 +88,8 @@
 }
 
 /// Retries are not served once their target has passed: in overload they would displace first tries. An
-/// unmarked request counts as a retry if it has more than a third of the class's time left: this one, with 3 s
-/// of 5 s, is 2 s old.
+/// unmarked request counts as a retry if it has more than a third of the class's time left: this one, with
+/// 3 s of 5 s, is 2 s old.
 #[test]
 fn a_retry_past_its_target_is_refused() {
     let mut world = two_workers(15);
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -139,9 +139,9 @@
     assert!(recovered_share > 0.3, "{recovered_share} of the class after it is answered again");
 }
 
-/// Two of four workers fail most of their attempts, and immediately. They seem idle while the others are full,
-/// and soon most outcomes are theirs, so by a mean over outcomes their failures would be usual. They are still
-/// avoided: each worker's failure rate is compared with the lowest rate among the workers.
+/// Two of four workers fail most of their attempts, and immediately. They seem idle while the others are
+/// full, and soon most outcomes are theirs, so by a mean over outcomes their failures would be usual. They
+/// are still avoided: each worker's failure rate is compared with the lowest rate among the workers.
 #[test]
 fn workers_that_fail_fast_do_not_attract_the_traffic() {
     let mut world = World::new(Settings { zone: None, ..settings() }, 31);
