--- a/node/benches/slopes/simulation.rs
+++ b/node/benches/slopes/simulation.rs
@@ -73,7 +73,8 @@
         simulation
     }
 
-    /// Starts the arrivals and runs until the number of outstanding requests is steady, and for as long again.
+    /// Starts the arrivals and runs until the number of outstanding requests is steady, and for as long
+    /// again.
     pub fn warm_up(&mut self) {
         self.has_traffic = true;
         self.enqueue(0.0, ScheduledEvent::Arrive);
