--- a/benchlink/src/host.rs
+++ b/benchlink/src/host.rs
@@ -1,12 +1,13 @@
-//! The instances of one process: names to numbers and back, events in, actions out.
+//! The dispatcher instances of this process: translates the wire's events for the balancer and its actions
+//! for the wire, with names mapped to numbers and back.
 
-use crate::wire::{Batch, Entry, Event, Row};
+use crate::wire::{Batch, Entry, Event, ReportRow};
 use sablerun as sr;
-use sablerun_settings::{Env, Names, Tables};
+use sablerun_settings::{Env, NameTable, Tables};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// One dispatcher and the names that it was told.
+/// One dispatcher and its name tables.
 struct Instance {
     balancer: sr::Balancer,
     tables: Tables,
@@ -14,32 +15,32 @@
 
 impl Instance {
     fn new(seed: u64, now: sr::Time, env: &Env) -> Result<Instance, String> {
-        let (mut settings, tables) = env.settle().map_err(|e| format!("PROVISION.env: {e}"))?;
-        // The simulator's own clock: four times the time for asking, anew from each call that fails.
-        settings.lost_within = sr::Span(settings.ask_within.0.saturating_mul(4));
-        settings.saved_within = settings.lost_within;
-        settings.failed_calls_renew = true;
+        let (mut settings, tables) = env.to_settings().map_err(|e| format!("PROVISION.env: {e}"))?;
+        // The simulator's rule: the list is valid for four polling intervals, anew from each failed call.
+        settings.validity_after_loss = sr::Span(settings.max_poll_interval.0.saturating_mul(4));
+        settings.saved_list_validity = settings.validity_after_loss;
+        settings.failed_calls_renew_validity = true;
         let balancer = sr::Balancer::new(settings, seed, now).map_err(|e| format!("PROVISION.env: {e}"))?;
         Ok(Instance { balancer, tables })
     }
 
-    fn report(&self, row: Row) -> Option<sr::Report> {
+    fn report(&self, row: ReportRow) -> Option<sr::Report> {
         row.map(|row| self.tables.report(row))
     }
 
     fn entry(&mut self, entry: &Entry) -> Result<sr::ListEntry, String> {
-        let standing = match entry.4.as_str() {
-            "ready" => sr::Standing::Ready,
-            "draining" => sr::Standing::Draining,
-            "gone" => sr::Standing::Gone,
+        let state = match entry.4.as_str() {
+            "ready" => sr::WorkerState::Ready,
+            "draining" => sr::WorkerState::Draining,
+            "gone" => sr::WorkerState::Gone,
             other => return Err(format!("PAGE.entries: state {other:?}")),
         };
         Ok(sr::ListEntry {
-            worker: sr::WorkerId(self.tables.workers.number(&entry.0)),
-            zone: sr::ZoneId(self.tables.zones.number(&entry.1)),
-            kind: sr::KindId(self.tables.kinds.number(&entry.2)),
+            worker: sr::WorkerId(self.tables.workers.intern(&entry.0)),
+            zone: sr::ZoneId(self.tables.zones.intern(&entry.1)),
+            kind: sr::KindId(self.tables.kinds.intern(&entry.2)),
             cell: entry.3,
-            standing,
+            state,
             size: entry.5.unwrap_or(1.0),
             up_since: entry.6.filter(|&t| t > 0).map(sr::Time),
         })
@@ -69,19 +70,19 @@
 }
 
 impl Host {
-    /// Hands a batch to its instances and writes the reply, without its line end.
-    pub fn answer(&mut self, batch: Batch<'_>, reply: &mut String) -> Result<(), String> {
+    /// Passes a batch to its instances and writes the reply, without a line end.
+    pub fn handle_batch(&mut self, batch: Batch<'_>, reply: &mut String) -> Result<(), String> {
         let now = sr::Time(batch.at);
         reply.push_str("{\"outbox\":[");
         let start = reply.len();
         for event in batch.happened {
-            self.take(now, event, reply, start)?;
+            self.handle_event(now, event, reply, start)?;
         }
         reply.push_str("]}");
         Ok(())
     }
 
-    fn take(
+    fn handle_event(
         &mut self,
         now: sr::Time,
         event: Event<'_>,
@@ -109,7 +110,7 @@
                     "FAILED" => None,
                     other => return Err(format!("TARGETS.mode: {other:?}")),
                 };
-                let instance = find(&mut self.instances, i, "TARGETS")?;
+                let instance = find_instance(&mut self.instances, i, "TARGETS")?;
                 let event = match kind {
                     None => sr::Event::ListFailed,
                     Some(kind) => {
@@ -133,7 +134,7 @@
                 needs,
                 tenant,
             } => {
-                let instance = find(&mut self.instances, i, "JOB_IN")?;
+                let instance = find_instance(&mut self.instances, i, "JOB_IN")?;
                 let class = instance
                     .tables
                     .classes
@@ -152,24 +153,26 @@
                 });
                 (i, Some(event))
             }
-            Event::Dropped(i, request) => (i, Some(sr::Event::Closed(sr::RequestId(request)))),
-            Event::Begun(i, request, attempt) => (i, Some(sr::Event::Began(sr::RequestId(request), attempt))),
+            Event::Dropped(i, request) => (i, Some(sr::Event::RequestClosed(sr::RequestId(request)))),
+            Event::Begun(i, request, attempt) => {
+                (i, Some(sr::Event::StreamStarted(sr::RequestId(request), attempt)))
+            }
             Event::Pong { instance: i, worker, status, row } => {
-                let instance = find(&mut self.instances, i, "PONG")?;
+                let instance = find_instance(&mut self.instances, i, "PONG")?;
                 let report = instance.report(row);
                 let Some(worker) = instance.tables.workers.get(&worker.0) else { return Ok(()) };
                 (i, Some(sr::Event::Probed(sr::WorkerId(worker), status == 0, report)))
             }
             Event::Change(i, request, attempt, kind, level) => {
-                let note = match kind {
-                    1 => sr::Note::Started,
-                    2 => sr::Note::Progress(level.unwrap_or(0.0)),
+                let update = match kind {
+                    1 => sr::AttemptUpdate::Started,
+                    2 => sr::AttemptUpdate::Progress(level.unwrap_or(0.0)),
                     _ => return Ok(()),
                 };
-                (i, Some(sr::Event::Noted(sr::RequestId(request), attempt, note)))
+                (i, Some(sr::Event::AttemptUpdate(sr::RequestId(request), attempt, update)))
             }
             Event::Done { instance: i, request, attempt, closed, status, row } => {
-                let instance = find(&mut self.instances, i, "DONE")?;
+                let instance = find_instance(&mut self.instances, i, "DONE")?;
                 let event = sr::Event::Ended {
                     request: sr::RequestId(request),
                     attempt,
@@ -186,7 +189,7 @@
                 return Ok(());
             }
         };
-        let instance = find(&mut self.instances, i, "event")?;
+        let instance = find_instance(&mut self.instances, i, "event")?;
         if let Some(event) = event {
             instance.balancer.handle(now, event, &mut self.actions);
         }
@@ -194,13 +197,13 @@
             if reply.len() > start {
                 reply.push(',');
             }
-            write(i, &action, &instance.tables.workers, reply);
+            write_action(i, &action, &instance.tables.workers, reply);
         }
         Ok(())
     }
 }
 
-fn find<'a>(
+fn find_instance<'a>(
     instances: &'a mut BTreeMap<u32, Instance>,
     i: u32,
     event: &str,
@@ -208,8 +211,8 @@
     instances.get_mut(&i).ok_or_else(|| format!("{event}.i: instance {i} was never started"))
 }
 
-fn write(i: u32, action: &sr::Action, workers: &Names, out: &mut String) {
-    let done = match *action {
+fn write_action(i: u32, action: &sr::Action, workers: &NameTable, out: &mut String) {
+    let result = match *action {
         sr::Action::Send(request, worker) => {
             write!(out, "[\"DELIVER\",{i},{},{},0]", request.0, workers.quoted(worker.0))
         }
@@ -222,9 +225,9 @@
         sr::Action::Probe(worker) => {
             write!(out, "[\"ASK_LOAD\",{i},{}]", workers.quoted(worker.0))
         }
-        sr::Action::Release(worker) => {
+        sr::Action::CloseIdle(worker) => {
             write!(out, "[\"RELEASE\",{i},{}]", workers.quoted(worker.0))
         }
     };
-    done.expect("writing to a string cannot fail");
+    result.expect("writing to a string cannot fail");
 }
--- a/node/benches/slopes/terms.rs
+++ b/node/benches/slopes/terms.rs
@@ -1,8 +1,8 @@
 //! The terms of a made-up world: its size, the settings, its runners. It owns those figures alone.
 
 use sablerun as sr;
-use sablerun_node::core::Listed;
-use sablerun_settings::{Names, Tables};
+use sablerun_node::core::ListedRunner;
+use sablerun_settings::{NameTable, Tables};
 
 /// Seconds that a request runs, in the mean.
 pub const WORK: f64 = 65.0;
@@ -26,11 +26,11 @@
     let tenants: Vec<_> = (0..shape.tenants).map(|t| format!("team-{t}")).collect();
     let zones: Vec<_> = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
     Tables {
-        workers: Names::default(),
-        zones: Names::of(&zones),
-        kinds: Names::default(),
-        classes: Names::of([&"task".to_owned(), &"urgent".to_owned()]),
-        tenants: Names::of(&tenants),
+        workers: NameTable::default(),
+        zones: NameTable::of(&zones),
+        kinds: NameTable::default(),
+        classes: NameTable::of([&"task".to_owned(), &"urgent".to_owned()]),
+        tenants: NameTable::of(&tenants),
         fields: Vec::new(),
     }
 }
@@ -43,7 +43,7 @@
         deadline: sr::Span::from_secs(300.0),
         worth,
         late_worth: 0.5,
-        effect: sr::Effect::Safe,
+        idempotency: sr::Idempotency::Safe,
         window: sr::Span(0),
         kind: None,
     };
@@ -55,30 +55,30 @@
         tenants: vec![sr::Tenant { quota_per_s }; shape.tenants],
         over_share_worth: 0.05,
         prices: sr::Prices { cross_zone: 0.03, handshake: 0.02, waste: 0.04, probe: 0.0018, late_fail: 0.07 },
-        discovery: sr::Discovery::Asked,
+        discovery: sr::Discovery::OnRequest,
         tick: sr::Span(4_000_000),
-        tells_start: true,
+        reports_start: true,
         probing: true,
-        parallel: true,
+        parallel_attempts: true,
         max_attempts: 5,
         max_hold_off: sr::Span::from_secs(2.0),
         warm_after: sr::Span::from_secs(7.0),
         cold_from: 0.4,
         fall_multiple: 2.5,
         worth_by_work: true,
-        marks_retries: true,
-        sized: true,
+        marked_retries: true,
+        has_worker_sizes: true,
         ..sr::Settings::default()
     }
 }
 
-pub fn listed(runner: usize, up_since: Option<sr::Time>) -> Listed {
-    Listed {
+pub fn listed(runner: usize, up_since: Option<sr::Time>) -> ListedRunner {
+    ListedRunner {
         name: name(runner),
         zone: format!("zone-{}", runner % ZONES),
         kind: format!("kind-{}", runner % 4),
         cell: (runner / 8) as u32,
-        standing: sr::Standing::Ready,
+        state: sr::WorkerState::Ready,
         size: SLOTS[runner % 4],
         up_since,
     }
--- a/node/src/assembly.rs
+++ b/node/src/assembly.rs
@@ -5,10 +5,10 @@
 use crate::config::Config;
 use crate::core::{Core, Input, Source};
 use crate::limits::Limits;
-use crate::net::discovery::Discovery;
+use crate::net::discovery::DiscoveryClient;
 use crate::net::hosts::Hosts;
 use crate::net::platform::Front;
-use crate::net::runners::Runners;
+use crate::net::runners::RunnerLink;
 use crate::runtime::{Clock, Runtime};
 use sablerun as sr;
 use sablerun_keys as keys;
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// Names the setting that makes no sense.
-pub fn runtime(
+pub fn build_runtime(
     config: &Config,
     (settings, tables): (sr::Settings, Tables),
     clock: Clock,
@@ -30,39 +30,39 @@
 ) -> Result<Rc<Runtime>, String> {
     let seed = config.seed()?;
     let promised = settings.clone();
-    let mut core = Core::new(settings, tables, config.discovery, seed, clock.now(), limits.open)
+    let mut core = Core::new(settings, tables, config.discovery, seed, clock.now(), limits.max_open)
         .map_err(|e| format!("NODE_CONFIG: settings: {e}"))?;
     if let Some(store) = store {
-        core.keep_keys(store);
+        core.set_key_store(store);
     }
     let runtime = Runtime::new(core, clock, limits);
-    runtime.promise(&promised);
-    runtime.show_classes();
+    runtime.update_longest_deadline(&promised);
+    runtime.register_classes();
     Ok(runtime)
 }
 
 /// Gives a runtime its way to the platform's runners, and to discovery.
-pub fn join(runtime: &Rc<Runtime>) -> (Rc<Runners>, Rc<Discovery>) {
-    let runners = Runners::new(runtime);
+pub fn connect(runtime: &Rc<Runtime>) -> (Rc<RunnerLink>, Rc<DiscoveryClient>) {
+    let runners = RunnerLink::new(runtime);
     runtime.add_link(runners.clone());
-    let roster = Discovery::new(runtime, &runners);
-    runtime.set_roster(roster.clone());
+    let roster = DiscoveryClient::new(runtime, &runners);
+    runtime.set_list_source(roster.clone());
     (runners, roster)
 }
 
 /// Begins: asks for the list, keeps time and serves whoever comes to the listener.
-pub fn begin(
+pub fn start(
     runtime: &Rc<Runtime>,
-    roster: &Discovery,
+    roster: &DiscoveryClient,
     known: Option<Hosts>,
     listener: TcpListener,
 ) -> Rc<Front> {
     match known {
-        Some(known) => roster.take(sr::ListKind::Saved, known),
+        Some(known) => roster.apply_list(sr::ListKind::Saved, known),
         None => runtime.feed(Input::List(Source::Discovery, sr::ListKind::Saved, Vec::new())),
     }
     let timer = runtime.clone();
-    actix_rt::spawn(async move { timer.keep_time().await });
+    actix_rt::spawn(async move { timer.run_timers().await });
     let front = Front::new(runtime);
     actix_rt::spawn(front.clone().serve(listener));
     front
--- a/node/src/core/attempts.rs
+++ b/node/src/core/attempts.rs
@@ -2,7 +2,7 @@
 //! that a runner holds one attempt of a request at a time. It must never pick the runner, nor believe a word
 //! about an attempt that is over.
 
-use super::{Answer, Attempt, AttemptId, Core, Echo, Effect, Ending};
+use super::{Answer, Attempt, AttemptEnd, AttemptId, Core, Echo, Effect};
 use sablerun as sr;
 
 impl<J: Clone> Core<J> {
@@ -15,15 +15,15 @@
         Some(AttemptId { request, number: number as u32 })
     }
 
-    pub(super) fn noted(&mut self, now: sr::Time, id: &str, from: &str, note: sr::Note) {
+    pub(super) fn noted(&mut self, now: sr::Time, id: &str, from: &str, note: sr::AttemptUpdate) {
         if let Some(AttemptId { request, number }) = self.live(id, from) {
-            self.tell(now, sr::Event::Noted(sr::RequestId(request), number, note));
+            self.tell(now, sr::Event::AttemptUpdate(sr::RequestId(request), number, note));
         }
     }
 
     /// A runner's word of how a job ended. Where an earlier attempt there may have brought it about, it proves
     /// nothing of this one, which may run: that is given up. What the runner made serves in any case.
-    pub(super) fn told(&mut self, now: sr::Time, attempt: AttemptId, ending: Ending) {
+    pub(super) fn told(&mut self, now: sr::Time, attempt: AttemptId, ending: AttemptEnd) {
         let AttemptId { request, number } = attempt;
         let Some(attempts) = self.requests.get(&request).map(|r| &r.attempts) else { return };
         let (earlier, this) = attempts.split_at(number as usize);
@@ -48,7 +48,7 @@
         let attempt = self.requests.get_mut(&request).and_then(|r| r.attempts.get_mut(number as usize));
         if let Some(attempt) = attempt.filter(|a| a.live) {
             (attempt.live, attempt.echo) = (false, Echo::Any);
-            self.effects.push(Effect::GiveUp(AttemptId { request, number }));
+            self.effects.push(Effect::Cancel(AttemptId { request, number }));
             self.end_for_module(request, number, outcome);
         }
     }
@@ -60,21 +60,21 @@
         let (earlier, this) = request.attempts.split_at(attempt.number as usize);
         let class = &self.settings.classes[request.class as usize];
         let ran = earlier.iter().filter(|a| a.may_have_run).map(|a| a.sent).chain(request.prior).min();
-        let known = match class.effect {
-            sr::Effect::Keyed(_) => {
+        let known = match class.idempotency {
+            sr::Idempotency::Keyed(_) => {
                 ran.is_none_or(|first| now < first + class.window - sr::Span(self.settings.tick.0 * 2))
             }
-            sr::Effect::Safe | sr::Effect::Unsafe => true,
+            sr::Idempotency::Safe | sr::Idempotency::Unsafe => true,
         };
         this.first().is_some_and(|a| a.live) && now < request.deadline && known
     }
 
-    pub(super) fn ended(&mut self, now: sr::Time, attempt: AttemptId, ending: Ending, echo: Echo) {
+    pub(super) fn ended(&mut self, now: sr::Time, attempt: AttemptId, ending: AttemptEnd, echo: Echo) {
         let request = self.requests.get_mut(&attempt.request);
         let out = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let Some(out) = out.filter(|a| a.live) else { return };
         (out.live, out.may_have_run, out.echo) = (false, !ending.outcome.never_ran(), echo);
-        self.effects.push(Effect::Over(attempt));
+        self.effects.push(Effect::Forget(attempt));
         if ending.outcome == sr::Outcome::Ok {
             self.answer(now, attempt.request, Answer::Served(ending.result));
         }
@@ -99,7 +99,7 @@
         let out = request.and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let Some(out) = out.filter(|a| a.live) else { return };
         out.live = false;
-        self.effects.push(Effect::Over(attempt));
+        self.effects.push(Effect::Forget(attempt));
         self.answer(now, attempt.request, Answer::Failed("the runner can't use the request"));
         self.end_for_module(attempt.request, attempt.number, sr::Outcome::Moot);
         self.tell_events(now);
--- a/node/src/core/hands.rs
+++ b/node/src/core/disabled.rs
@@ -9,13 +9,13 @@
 impl<J: Clone> Core<J> {
     /// Runners on the list, and of those the ones avoided now: by hand, as the list drains them, or by the
     /// module's choice.
-    pub fn census(&self) -> (usize, usize) {
+    pub fn runner_counts(&self) -> (usize, usize) {
         let avoided = |(worker, out): &(&u32, &bool)| **out || self.balancer.avoids(sr::WorkerId(**worker));
         (self.standings.len(), self.standings.iter().filter(avoided).count())
     }
 
     /// The runners taken out by hand, by name.
-    pub fn banned(&self) -> impl Iterator<Item = &str> {
+    pub fn disabled_runners(&self) -> impl Iterator<Item = &str> {
         self.banned.iter().map(|worker| self.tables.workers.name(*worker))
     }
 
@@ -29,7 +29,7 @@
         shared: bool,
     ) -> Result<(), &'static str> {
         let worker = match shared {
-            true => self.tables.workers.number(runner),
+            true => self.tables.workers.intern(runner),
             false => self.tables.workers.get(runner).ok_or("no runner of that id was ever listed")?,
         };
         let changed = if out { self.banned.insert(worker) } else { self.banned.remove(&worker) };
@@ -40,7 +40,7 @@
             self.lists.iter().filter(|((_, w), _)| *w == worker).map(|(_, e)| e.clone()).collect();
         if !entries.is_empty() {
             let mut entries = self.as_told(entries);
-            if !out && self.settings.drain_binds_alone {
+            if !out && self.settings.only_draining_excludes {
                 // There a drain holds until a later start: to the module the runner starts now, and cold.
                 entries.iter_mut().for_each(|entry| entry.up_since = Some(now));
             }
@@ -53,8 +53,8 @@
     /// Entries as the module is to hear them: a runner taken out by hand drains.
     pub(super) fn as_told(&self, mut entries: Vec<sr::ListEntry>) -> Vec<sr::ListEntry> {
         for entry in &mut entries {
-            if self.banned.contains(&entry.worker.0) && entry.standing == sr::Standing::Ready {
-                entry.standing = sr::Standing::Draining;
+            if self.banned.contains(&entry.worker.0) && entry.state == sr::WorkerState::Ready {
+                entry.state = sr::WorkerState::Draining;
             }
         }
         entries
@@ -64,7 +64,7 @@
     pub(super) fn count_runners(&mut self) {
         let mut listed: BTreeMap<u32, bool> = BTreeMap::new();
         for ((_, worker), entry) in &self.lists {
-            let avoided = self.banned.contains(worker) || entry.standing != sr::Standing::Ready;
+            let avoided = self.banned.contains(worker) || entry.state != sr::WorkerState::Ready;
             *listed.entry(*worker).or_insert(true) &= avoided;
         }
         self.standings = listed;
--- a/node/src/core/requests.rs
+++ b/node/src/core/requests.rs
@@ -32,12 +32,22 @@
         let member = tenant.map_or(keys::Member::NONE, keys::Member);
         let mut prior = None;
         if let (Some(store), Some(key)) = (&mut self.keys, &key) {
-            let asked = keys::Asked { member, class, key: key.text.as_bytes(), print: key.print, retry };
-            match store.ask(now, &asked, keys::Run(number.into())) {
+            let asked = keys::KeyedRequest {
+                member,
+                class,
+                key: key.text.as_bytes(),
+                fingerprint: key.fingerprint,
+                retry,
+            };
+            match store.admit(now, &asked, keys::RunId(number.into())) {
                 keys::Admission::New => {}
-                keys::Admission::Again(sent) => {
+                keys::Admission::Resend(sent) => {
                     let place = sent.place.unwrap_or(keys::Place { zone: u32::MAX, cell: 0 });
-                    prior = Some(sr::Prior { zone: place.zone(), cell: place.cell, sent: sent.first });
+                    prior = Some(sr::PriorAttempt {
+                        zone: place.zone(),
+                        cell: place.cell,
+                        sent_at: sent.first_at,
+                    });
                 }
                 keys::Admission::Join(run) => return self.join(now, run.0 as u32, ticket, deadline),
                 other => {
@@ -51,7 +61,7 @@
         self.tickets.insert(ticket, number);
         let key = key.filter(|_| self.keys.is_some()).map(|key| Held { member, text: key.text });
         let (waiting, attempts) = (vec![(ticket, deadline)], Vec::new());
-        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent), false);
+        let (sent, answered) = (prior.as_ref().map(|prior| prior.sent_at), false);
         let request = Request { waiting, id, class, deadline, job, key, prior: sent, answered, attempts };
         self.requests.insert(number, request);
         self.set_timer(deadline, Timer::Deadline(number));
@@ -99,7 +109,7 @@
         self.tickets.insert(ticket, request);
         self.set_timer(deadline, Timer::Deadline(request));
         if later {
-            self.tell(now, sr::Event::Extended(sr::RequestId(request), deadline));
+            self.tell(now, sr::Event::DeadlineExtended(sr::RequestId(request), deadline));
         }
     }
 
@@ -111,7 +121,7 @@
         held.waiting.retain(|(waiting, _)| *waiting != ticket);
         if held.waiting.is_empty() {
             self.answered(now, request, None);
-            self.tell(now, sr::Event::Closed(sr::RequestId(request)));
+            self.tell(now, sr::Event::RequestClosed(sr::RequestId(request)));
             self.forget(request);
         }
     }
@@ -135,12 +145,12 @@
         let Some(key) = held.key.take() else { return };
         let held = &self.requests[&request];
         let fate = match (result, self.sent_of(held)) {
-            (Some(result), _) => keys::Fate::Served(result),
-            (None, Some(sent)) => keys::Fate::MayHaveRun(sent),
-            (None, None) => keys::Fate::NeverRan,
+            (Some(result), _) => keys::Resolution::Served(result),
+            (None, Some(sent)) => keys::Resolution::MayHaveRun(sent),
+            (None, None) => keys::Resolution::NeverRan,
         };
         if let Some(store) = &mut self.keys {
-            store.settle(now, key.member, held.class, key.text.as_bytes(), fate);
+            store.resolve(now, key.member, held.class, key.text.as_bytes(), fate);
         }
     }
 
@@ -174,7 +184,7 @@
                 return;
             }
             self.answered(now, request, None);
-            self.tell(now, sr::Event::Closed(sr::RequestId(request)));
+            self.tell(now, sr::Event::RequestClosed(sr::RequestId(request)));
         }
         let attempts = self.requests.get(&request).map_or(0, |held| held.attempts.len());
         for number in 0..attempts as u32 {
--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -5,11 +5,11 @@
 //! or not. It must never choose a worker, repeat a job by itself or hand one out after its worker
 //! went quiet; what a worker says of a job already settled changes nothing.
 
-use crate::core::{Answer, Arrival, AttemptId, Ending, Input, Listed, Source};
+use crate::core::{Answer, Arrival, AttemptEnd, AttemptId, Input, ListedRunner, Source};
 use crate::limits::Limits;
 use crate::net::runners::result_bytes;
 use crate::net::spiffe::{self, Identities, SpiffeId};
-use crate::runtime::{Here, Job, Link, Runtime};
+use crate::runtime::{ClientGuard, Job, Link, Runtime};
 use bytes::{Buf, Bytes, BytesMut};
 use sablerun as sr;
 use serde_json::{Value, json};
@@ -30,7 +30,7 @@
 /// The section `faktory` of the operator's file.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Gateway {
+pub struct FaktoryConfig {
     pub listen: SocketAddr,
     /// No TLS and no identities; said so on purpose.
     #[serde(default)]
@@ -138,14 +138,14 @@
     }
 }
 
-impl Gateway {
+impl FaktoryConfig {
     /// Whether the file makes sense with these settings.
     ///
     /// # Errors
     ///
     /// Names the key at fault.
     pub fn check(&self, tables: &sablerun_settings::Tables) -> Result<(), String> {
-        let known = |what: &sablerun_settings::Names, name: &Option<String>, key: &str| match name {
+        let known = |what: &sablerun_settings::NameTable, name: &Option<String>, key: &str| match name {
             Some(name) if what.get(name).is_none() => Err(format!("{key}: {name:?} is not in the settings")),
             _ => Ok(()),
         };
@@ -262,7 +262,7 @@
 /// The front.
 pub struct Faktory {
     runtime: Rc<Runtime>,
-    gateway: Gateway,
+    gateway: FaktoryConfig,
     password: Option<String>,
     identities: Option<Arc<Identities>>,
     workers: RefCell<HashMap<String, Worker>>,
@@ -296,7 +296,7 @@
     /// # Errors
     ///
     /// Names the key at fault.
-    pub fn new(runtime: &Rc<Runtime>, gateway: Gateway) -> Result<Rc<Faktory>, String> {
+    pub fn new(runtime: &Rc<Runtime>, gateway: FaktoryConfig) -> Result<Rc<Faktory>, String> {
         let read = |path: &PathBuf| {
             let text = std::fs::read_to_string(path);
             text.map_err(|e| format!("password_file: {}: {e}", path.display()))
@@ -324,7 +324,7 @@
             Err(e) => return log::error!("tls: {e}"),
         };
         loop {
-            while self.connections.get() >= self.runtime.limits.callers {
+            while self.connections.get() >= self.runtime.limits.max_faktory_connections {
                 self.closed.notified().await;
             }
             let (stream, from) = match listener.accept().await {
@@ -341,12 +341,13 @@
             actix_rt::spawn(async move {
                 let _closed = Counted(front.clone());
                 match acceptor {
-                    None => front.clone().converse(stream, front.plain_peer(from)).await,
+                    None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
-                        let shaken = tokio::time::timeout(front.runtime.limits.head, acceptor.accept(stream));
+                        let shaken =
+                            tokio::time::timeout(front.runtime.limits.head_timeout, acceptor.accept(stream));
                         match shaken.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
-                                Ok(peer) => front.converse(stream, peer).await,
+                                Ok(peer) => front.serve_connection(stream, peer).await,
                                 Err(why) => log::warn!("faktory: peer at {from} refused: {why}"),
                             },
                             Ok(Err(e)) => log::warn!("faktory: no TLS with {from}: {e}"),
@@ -359,10 +360,10 @@
     }
 
     /// Looks after what time alone brings about: workers without beats, files that rotated.
-    pub async fn look_after(self: Rc<Self>) {
+    pub async fn run_maintenance(self: Rc<Self>) {
         let limit = Duration::from_secs_f64(self.gateway.beat_limit_s);
         let reload = self.gateway.tls.as_ref().map_or(f64::MAX, |tls| tls.reload_s);
-        let sweep = self.runtime.limits.sweep.as_secs_f64();
+        let sweep = self.runtime.limits.sweep_interval.as_secs_f64();
         let pause = (limit.as_secs_f64() / 10.0).min(sweep).min(reload);
         let mut looked = Instant::now();
         loop {
@@ -373,8 +374,9 @@
                 workers.iter().filter(|(_, w)| silent(w)).map(|(wid, _)| wid.clone()).collect();
             drop(workers);
             // A job that nobody waits for is kept in mind only while its worker may rightly run it.
-            let old =
-                |job: &Running| job.attempt.is_none() && job.since.elapsed() > self.runtime.limits.reserve;
+            let old = |job: &Running| {
+                job.attempt.is_none() && job.since.elapsed() > self.runtime.limits.orphan_timeout
+            };
             let mut workers = self.workers.borrow_mut();
             workers.values_mut().for_each(|worker| worker.running.retain(|_, job| !old(job)));
             drop(workers);
@@ -399,7 +401,7 @@
         }
     }
 
-    pub fn plain_peer(&self, from: SocketAddr) -> Peer {
+    pub fn plaintext_peer(&self, from: SocketAddr) -> Peer {
         let name = from.ip().to_string();
         Peer { name, client: true, worker: true, member: None, zone: None, kind: None }
     }
@@ -424,10 +426,10 @@
 
     // ---- conversations ----
 
-    pub async fn converse<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
+    pub async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin>(self: Rc<Self>, stream: S, peer: Peer) {
         self.numbers.set(self.numbers.get() + 1);
         let number = self.numbers.get();
-        let Limits { frame: most, body_wait: pace, .. } = self.runtime.limits;
+        let Limits { max_frame_bytes: most, body_timeout: pace, .. } = self.runtime.limits;
         let mut wire = Wire { stream, buffer: BytesMut::new(), most, pace };
         let mut session = Session { front: self.clone(), number, wid: None };
         let ended = self.hello(&mut wire, &peer, &mut session).await;
@@ -439,10 +441,10 @@
         drop(session);
         if let Err(End::Say(word)) = ended {
             let last = format!("-ERR {word}\r\n");
-            let _ = tokio::time::timeout(self.runtime.limits.head, wire.say(&last)).await;
+            let _ = tokio::time::timeout(self.runtime.limits.head_timeout, wire.say(&last)).await;
             log::info!("faktory: connection of {} closed: {word}", peer.name);
             // Guards against a reset by what is unread, which may destroy the last word on its way.
-            let _ = tokio::time::timeout(self.runtime.limits.linger, wire.read_on()).await;
+            let _ = tokio::time::timeout(self.runtime.limits.linger_timeout, wire.read_on()).await;
         }
     }
 
@@ -458,7 +460,7 @@
             None => json!({"v": 2}),
         };
         wire.say(&format!("+HI {greeting}\r\n")).await?;
-        let line = tokio::time::timeout(self.runtime.limits.head, wire.line()).await;
+        let line = tokio::time::timeout(self.runtime.limits.head_timeout, wire.line()).await;
         let line = line.map_err(|_| End::Say("MALFORMED no HELLO in time".to_owned()))??;
         let malformed = |what: &str| End::Say(format!("MALFORMED HELLO: {what}"));
         let hello = line.strip_prefix("HELLO ").ok_or_else(|| malformed("it comes first"))?;
@@ -527,21 +529,21 @@
         let workers = self.workers.borrow();
         let Some(worker) = workers.get(wid) else { return };
         let standing = match worker {
-            worker if worker.connections.is_empty() => sr::Standing::Gone,
-            Worker { quiet: true, .. } => sr::Standing::Draining,
-            _ => sr::Standing::Ready,
+            worker if worker.connections.is_empty() => sr::WorkerState::Gone,
+            Worker { quiet: true, .. } => sr::WorkerState::Draining,
+            _ => sr::WorkerState::Ready,
         };
-        let listed = Listed {
+        let listed = ListedRunner {
             name: runner_name(wid),
             zone: worker.zone.clone(),
             kind: worker.kind.clone(),
             cell: 0,
-            standing,
+            state: standing,
             size: 1.0,
             up_since: Some(worker.since),
         };
         drop(workers);
-        self.runtime.feed(Input::List(Source::Callers, sr::ListKind::Delta, vec![listed]));
+        self.runtime.feed(Input::List(Source::SelfRegistered, sr::ListKind::Delta, vec![listed]));
     }
 
     async fn commands<S: AsyncRead + AsyncWrite + Unpin>(
@@ -666,7 +668,7 @@
             memory: 0.0,
             estimate: sr::Span::from_secs(figure(&names.cost_us)?.unwrap_or(0.0) / 1e6),
             retry: custom[&names.retry].as_bool().unwrap_or(false),
-            key: self.runtime.key_of(class, &job),
+            key: self.runtime.idempotency_key(class, &job),
             job: Rc::new(job),
         })
     }
@@ -679,7 +681,7 @@
     ) -> Result<Result<(), String>, End> {
         let (ticket, mut answer) = self.runtime.ticket(arrival.class);
         arrival.ticket = ticket;
-        let _here = Here::new(&self.runtime, ticket);
+        let _here = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(arrival));
         let answer = loop {
             tokio::select! {
@@ -786,7 +788,7 @@
                 since: Instant::now(),
             };
             worker.running.insert(jid.clone(), running);
-            crate::figures::Figures::add(&self.runtime.figures.sends);
+            crate::metrics::Metrics::add(&self.runtime.metrics.sends);
             // If its connection has just gone, its end tells what becomes of the job.
             let _ = parked.hand_over.send(Handed { jid, frame });
         }
@@ -810,8 +812,8 @@
         drop(workers);
         if let Some(attempt) = running.attempt {
             let result = if outcome == sr::Outcome::Ok { told["result"].take() } else { Value::Null };
-            let ending = Ending { outcome, result: result_bytes(result), report };
-            self.runtime.feed(Input::Ended(attempt, ending));
+            let ending = AttemptEnd { outcome, result: result_bytes(result), report };
+            self.runtime.feed(Input::AttemptEnded(attempt, ending));
         }
         Ok(())
     }
@@ -840,7 +842,7 @@
 
     fn end(&self, attempts: Vec<AttemptId>, outcome: sr::Outcome) {
         for attempt in attempts {
-            self.runtime.feed(Input::Ended(attempt, Ending::bare(outcome)));
+            self.runtime.feed(Input::AttemptEnded(attempt, AttemptEnd::without_report(outcome)));
         }
     }
 
@@ -935,7 +937,7 @@
 }
 
 impl Link for Faktory {
-    fn leads_to(&self, runner: &str) -> bool {
+    fn reaches(&self, runner: &str) -> bool {
         runner.strip_prefix("wid:").is_some_and(|wid| self.workers.borrow().contains_key(wid))
     }
 
@@ -964,10 +966,11 @@
         };
         let report = workers.get(wid).map(Worker::report);
         drop(workers);
-        self.runtime.feed(Input::Ended(attempt, Ending { report, ..Ending::bare(outcome) }));
+        self.runtime
+            .feed(Input::AttemptEnded(attempt, AttemptEnd { report, ..AttemptEnd::without_report(outcome) }));
     }
 
-    fn give_up(&self, attempt: AttemptId) {
+    fn cancel(&self, attempt: AttemptId) {
         let Some((wid, jid)) = self.attempts.borrow_mut().remove(&attempt) else { return };
         if let Some(worker) = self.workers.borrow_mut().get_mut(&wid) {
             worker.waiting.retain(|job| job.attempt != attempt);
@@ -978,7 +981,7 @@
         }
     }
 
-    fn over(&self, attempt: AttemptId) {
+    fn forget(&self, attempt: AttemptId) {
         self.attempts.borrow_mut().remove(&attempt);
     }
 
@@ -989,7 +992,7 @@
         self.runtime.feed(Input::Probed { runner: runner.to_owned(), ok: report.is_some(), report });
     }
 
-    fn release(&self, _: &str) {
+    fn close_idle(&self, _: &str) {
         // Connections are the workers' own.
     }
 }
--- a/node/src/net/platform.rs
+++ b/node/src/net/platform.rs
@@ -4,14 +4,14 @@
 
 mod closing;
 mod connection;
-pub mod ending;
 mod head;
-pub mod life;
+pub mod lifecycle;
 mod reply;
 mod requests;
+pub mod shutdown;
 mod stream;
 
-use crate::net::peers::Peers;
+use crate::net::peers::PeerRegistry;
 use crate::net::platform::connection::Connection;
 use crate::net::platform::stream::{Guarded, farewell};
 use crate::runtime::Runtime;
@@ -47,7 +47,7 @@
     /// Who wants to know first how many wait to be accepted.
     look: RefCell<Option<oneshot::Sender<usize>>>,
     /// Where call-backs about another process's jobs go, while a process replaces another.
-    peers: RefCell<Option<Rc<Peers>>>,
+    peers: RefCell<Option<Rc<PeerRegistry>>>,
 }
 
 impl Front {
@@ -95,7 +95,7 @@
             self.next.set(number + 1);
             let (front, its) = (self.clone(), connection.clone());
             let task = actix_rt::spawn(async move {
-                let linger = front.runtime.limits.linger;
+                let linger = front.runtime.limits.linger_timeout;
                 let ended = Ended { front, number };
                 if let Err(e) = handling.await {
                     log::debug!("connection from {peer}: {e}");
@@ -111,7 +111,7 @@
         loop {
             self.make_room();
             // At the limit the rest waits in the listener's queue, unless somebody can be closed.
-            while self.connections.borrow().len() >= limits.clients {
+            while self.connections.borrow().len() >= limits.max_client_connections {
                 let _ = tokio::time::timeout(limits.accept_pause, self.closed.notified()).await;
                 self.make_room();
             }
@@ -149,14 +149,14 @@
     }
 
     /// Hands call-backs about jobs that are not known here on to the other processes of this register.
-    pub fn hand_on_to(&self, peers: Peers) {
+    pub fn forward_call_backs_to(&self, peers: PeerRegistry) {
         *self.peers.borrow_mut() = Some(Rc::new(peers));
     }
 
     /// Nothing is under way here any more: others hand nothing on to this process, which still does.
-    pub fn leave_register(&self) {
+    pub fn unregister(&self) {
         if let Some(peers) = &*self.peers.borrow() {
-            peers.leave();
+            peers.unregister();
         }
     }
 }
--- a/node/src/net/runners.rs
+++ b/node/src/net/runners.rs
@@ -10,7 +10,7 @@
 pub use pool::Pool;
 pub use report::{load_object, result_bytes};
 
-use crate::core::{AttemptId, Ending, Input};
+use crate::core::{AttemptEnd, AttemptId, Input};
 use crate::runtime::{Job, Link, Runtime};
 use attempt::Answered;
 use awc::Client;
@@ -46,7 +46,7 @@
 type JobAt = (Rc<str>, String);
 
 /// The link.
-pub struct Runners {
+pub struct RunnerLink {
     runtime: Weak<Runtime>,
     client: Client,
     pool: Pool,
@@ -54,22 +54,22 @@
     out: RefCell<HashMap<AttemptId, Out>>,
     /// Jobs being given up, by id and runner: a further attempt there waits for the end of that.
     given_up: RefCell<HashMap<JobAt, Rc<Notify>>>,
-    this: Weak<Runners>,
+    this: Weak<RunnerLink>,
 }
 
-impl Runners {
-    pub fn new(runtime: &Rc<Runtime>) -> Rc<Runners> {
+impl RunnerLink {
+    pub fn new(runtime: &Rc<Runtime>) -> Rc<RunnerLink> {
         let pool = Pool::new(&runtime.limits);
         let client = pool.client(&runtime.limits);
         let sweep = pool.clone();
-        let pause = runtime.limits.sweep;
+        let pause = runtime.limits.sweep_interval;
         actix_rt::spawn(async move {
             loop {
                 tokio::time::sleep(pause).await;
                 sweep.close_idle(sweep.idle, |_| true);
             }
         });
-        Rc::new_cyclic(|this| Runners {
+        Rc::new_cyclic(|this| RunnerLink {
             runtime: Rc::downgrade(runtime),
             client,
             pool,
@@ -86,7 +86,7 @@
     }
 
     /// Notes where a runner listens.
-    pub fn address(&self, runner: &str, at: SocketAddr) {
+    pub fn set_address(&self, runner: &str, at: SocketAddr) {
         let before = self.addresses.borrow_mut().insert(runner.to_owned(), at);
         if let Some(before) = before.filter(|before| *before != at) {
             self.pool.close_idle(Duration::ZERO, |address| address == before);
@@ -103,7 +103,7 @@
         let mut response = request.send().await.ok()?;
         let head = self.header_report(response.headers());
         let runtime = self.runtime.upgrade()?;
-        let body = response.body().limit(runtime.limits.body).await.ok()?;
+        let body = response.body().limit(runtime.limits.max_body_bytes).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
@@ -135,13 +135,13 @@
                 for _ in 0..TELLINGS {
                     let call = this.client.delete(&url).address(at).no_decompress();
                     if let Ok(mut response) = call.send().await {
-                        told = response.body().limit(runtime.limits.body).await.ok();
+                        told = response.body().limit(runtime.limits.max_body_bytes).await.ok();
                         break;
                     }
                 }
                 told
             };
-            if !matches!(tokio::time::timeout(runtime.limits.give_up, call).await, Ok(Some(_))) {
+            if !matches!(tokio::time::timeout(runtime.limits.cancel_timeout, call).await, Ok(Some(_))) {
                 log::debug!("runner {} did not confirm that it gives {} up", key.1, key.0);
             }
             this.given_up.borrow_mut().remove(&key);
@@ -150,8 +150,8 @@
     }
 }
 
-impl Link for Runners {
-    fn leads_to(&self, runner: &str) -> bool {
+impl Link for RunnerLink {
+    fn reaches(&self, runner: &str) -> bool {
         self.addresses.borrow().contains_key(runner)
     }
 
@@ -173,18 +173,19 @@
             // Written whole unless it never got that far.
             let unsent = [sr::Outcome::ConnectFailed, sr::Outcome::Moot];
             if !matches!(&answered, Answered::Ended(e) if unsent.contains(&e.outcome)) {
-                crate::figures::Figures::add(&runtime.figures.sends);
+                crate::metrics::Metrics::add(&runtime.metrics.sends);
             }
             match answered {
                 Answered::Taken => {
                     log::debug!("runner {} took {}", key.1, key.0);
                     took.set(true);
                 }
-                Answered::Unusable => runtime.feed(Input::Unusable(attempt)),
-                Answered::Ended(ending) => runtime.feed(Input::Ended(attempt, ending)),
+                Answered::Unusable => runtime.feed(Input::RequestRejected(attempt)),
+                Answered::Ended(ending) => runtime.feed(Input::AttemptEnded(attempt, ending)),
                 Answered::Garbled => {
                     this.withdraw(key.0, key.1, None);
-                    runtime.feed(Input::Ended(attempt, Ending::bare(sr::Outcome::Reset)));
+                    runtime
+                        .feed(Input::AttemptEnded(attempt, AttemptEnd::without_report(sr::Outcome::Reset)));
                 }
             }
         }));
@@ -192,7 +193,7 @@
         self.out.borrow_mut().insert(attempt, out);
     }
 
-    fn give_up(&self, attempt: AttemptId) {
+    fn cancel(&self, attempt: AttemptId) {
         let Some(out) = self.out.borrow_mut().remove(&attempt) else { return };
         if out.taken.get() {
             self.withdraw(out.id, out.runner, None);
@@ -205,7 +206,7 @@
         }
     }
 
-    fn over(&self, attempt: AttemptId) {
+    fn forget(&self, attempt: AttemptId) {
         // A call-back may come before the 202: the task that reads it ends by itself.
         self.out.borrow_mut().remove(&attempt);
     }
@@ -215,12 +216,13 @@
         let Some(&at) = self.addresses.borrow().get(runner) else { return };
         let runner = runner.to_owned();
         actix_rt::spawn(async move {
-            let probed = tokio::time::timeout(runtime.limits.probe, this.probed(at)).await.ok().flatten();
+            let probed =
+                tokio::time::timeout(runtime.limits.probe_timeout, this.probed(at)).await.ok().flatten();
             runtime.feed(Input::Probed { runner, ok: probed.is_some(), report: probed.flatten() });
         });
     }
 
-    fn release(&self, runner: &str) {
+    fn close_idle(&self, runner: &str) {
         if let Some(&at) = self.addresses.borrow().get(runner) {
             self.pool.close_idle(Duration::ZERO, |address| address == at);
         }
--- a/node/tests/model/rules.rs
+++ b/node/tests/model/rules.rs
@@ -22,7 +22,7 @@
                     assert!(self.asked.iter().any(waits), "an attempt for nobody");
                     assert_eq!(
                         self.standing[runner],
-                        sr::Standing::Ready,
+                        sr::WorkerState::Ready,
                         "work for one that drains or is gone"
                     );
                     let others: Vec<_> = self.tried.iter().filter(|t| t.ticket == job).collect();
@@ -33,17 +33,17 @@
                     );
                     let ran = others.iter().find(|t| t.over != Some(false));
                     let allowed = ran.is_none_or(|ran| match effects_of(asked.class) {
-                        sr::Effect::Safe => true,
-                        sr::Effect::Keyed(_) => ZONES[ran.runner] == ZONES[runner],
-                        sr::Effect::Unsafe => false,
+                        sr::Idempotency::Safe => true,
+                        sr::Idempotency::Keyed(_) => ZONES[ran.runner] == ZONES[runner],
+                        sr::Idempotency::Unsafe => false,
                     });
                     assert!(allowed, "repeated further than its class permits");
                     self.check_key(job, runner);
                     let (at, over, word) = (self.now, None, None);
                     self.tried.push(Tried { id: attempt, ticket: job, runner, at, over, word });
                 }
-                Effect::GiveUp(attempt) => self.over(attempt, true),
-                Effect::Over(attempt) => {
+                Effect::Cancel(attempt) => self.over(attempt, true),
+                Effect::Forget(attempt) => {
                     let (ended, outcome) = ends.expect("an attempt ended by itself");
                     assert_eq!(self.tried[ended].id, attempt);
                     self.over(attempt, !outcome.never_ran());
@@ -52,8 +52,8 @@
                     assert_eq!(at, self.roster, "the list is asked for elsewhere");
                     self.asked_for_list += 1;
                 }
-                Effect::Probe(_) | Effect::Release(_) | Effect::Handed { .. } => {}
-                Effect::AskDigest => panic!("no digest is followed"),
+                Effect::Probe(_) | Effect::CloseIdle(_) | Effect::AdminResult { .. } => {}
+                Effect::FetchDigest => panic!("no digest is followed"),
             }
         }
     }
@@ -113,7 +113,7 @@
                 assert!(first.is_some(), "handed back what was not made under this key");
             }
             Answer::Refused(_) => {
-                let harmless = effects_of(self.asked[ticket].class) == sr::Effect::Safe;
+                let harmless = effects_of(self.asked[ticket].class) == sr::Idempotency::Safe;
                 assert!(harmless || tried.all(|t| t.over == Some(false)), "refused what may have run");
             }
             Answer::Failed(_) => {}
--- a/stand-ins/src/discovery/counted.rs
+++ b/stand-ins/src/discovery/metrics.rs
@@ -1,10 +1,10 @@
-//! What is counted of discovery. It owns the names; it must never count.
+//! The names of discovery's metrics.
 
-use crate::tally::{Tally, named};
+use crate::metrics::{Metrics, metric_names};
 
-named! {
-    /// What only grows. Bytes are those of HTTP messages, chunks and all; `in` is toward discovery.
-    Count {
+metric_names! {
+    /// Counters. Bytes are those of HTTP messages including chunk framing; `in` is toward discovery.
+    Counter {
         Accepted = "connections_accepted",
         ListCalls = "calls.lists",
         WatchCalls = "calls.watches",
@@ -18,14 +18,14 @@
     }
 }
 
-named! {
-    /// What comes and goes. A call is under way until its list, or a watch's first object, is written.
-    Level {
+metric_names! {
+    /// Gauges. A call is in progress until its list, or the first object of a watch, is written.
+    Gauge {
         Connections = "connections_open",
         Calls = "calls",
         Watches = "watches",
     }
 }
 
-/// The counts of discovery.
-pub type Counts = Tally<Count, Level>;
+/// The metrics of discovery.
+pub type DiscoveryMetrics = Metrics<Counter, Gauge>;
--- a/stand-ins/src/hall.rs
+++ b/stand-ins/src/hall.rs
@@ -1,16 +1,16 @@
-//! Halls of pick nodes: slots, a queue in order, speed, the memory of repeats that the nodes of a hall
-//! share, call-backs, and the faults that are injected. They own the truth: which key had its effect how
-//! often, and where. A node does what the platform's pages say of one, and knows nothing of dispatchers
-//! beyond the address that its calls go to.
+//! Halls (a site's groups of runners, called pick nodes): slots, a FIFO queue, speed, deduplication of keys
+//! across a hall, call-backs and injected faults. Records as ground truth which key was executed how often,
+//! and where. A node follows the platform's public protocol and knows nothing of a dispatcher but its
+//! call-back address.
 
+mod dedup;
 mod job;
-mod memory;
 mod node;
 
-pub use memory::Key;
+pub use dedup::Key;
 
 use crate::installation::{Class, Faults, Hall};
-use memory::Memory;
+use dedup::RepeatFilter;
 use node::Node;
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -20,46 +20,46 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// What truly happened.
+/// What was really executed, to check dispatchers' claims against.
 #[derive(Default)]
-pub struct Truth {
-    effects: Mutex<HashMap<Key, Vec<String>>>,
-    /// Attempts taken.
+pub struct GroundTruth {
+    executions: Mutex<HashMap<Key, Vec<String>>>,
+    /// Attempts received.
     pub attempts: AtomicUsize,
-    /// Repeats that a hall's memory dropped.
-    pub dropped: AtomicUsize,
+    /// Repeats that were dropped as duplicates of a key.
+    pub repeats_dropped: AtomicUsize,
     /// Faults injected.
     pub faults: AtomicUsize,
 }
 
-impl Truth {
-    /// Keys that had their effect more than once.
-    pub fn doubles(&self) -> usize {
-        self.effects.lock().expect("no holder panics").values().filter(|halls| halls.len() > 1).count()
+impl GroundTruth {
+    /// Returns the number of keys that were executed more than once.
+    pub fn duplicated_keys(&self) -> usize {
+        self.executions.lock().expect("no holder panics").values().filter(|halls| halls.len() > 1).count()
     }
 
-    /// The same, where the effects were in different halls.
-    pub fn doubles_across(&self) -> usize {
+    /// Returns the number of keys that were executed in more than one hall.
+    pub fn keys_duplicated_across_halls(&self) -> usize {
         let across = |halls: &&Vec<String>| halls.iter().any(|hall| *hall != halls[0]);
-        self.effects.lock().expect("no holder panics").values().filter(across).count()
+        self.executions.lock().expect("no holder panics").values().filter(across).count()
     }
 
-    /// Keys that had their effect.
-    pub fn ran(&self) -> usize {
-        self.effects.lock().expect("no holder panics").len()
+    /// Returns the number of keys that were executed.
+    pub fn executed_keys(&self) -> usize {
+        self.executions.lock().expect("no holder panics").len()
     }
 }
 
 /// All halls of an installation.
 pub struct Halls {
-    /// What truly happened.
-    pub truth: Arc<Truth>,
-    /// The entries of discovery's list, for each dispatcher.
+    /// What was really executed.
+    pub ground_truth: Arc<GroundTruth>,
+    /// The entries of the runner list, for each dispatcher.
     pub hosts: Vec<Vec<Value>>,
 }
 
 impl Halls {
-    /// Starts the nodes of all halls, each with an address for each dispatcher.
+    /// Starts the nodes of all halls. Each node listens on a separate address for each dispatcher.
     ///
     /// # Errors
     ///
@@ -71,28 +71,28 @@
         seed: u64,
         dispatchers: &[SocketAddr],
     ) -> std::io::Result<Halls> {
-        let truth = Arc::new(Truth::default());
-        let of_all = Arc::new(Memory::default());
+        let ground_truth = Arc::new(GroundTruth::default());
+        let installation_filter = Arc::new(RepeatFilter::default());
         let mut hosts = vec![Vec::new(); dispatchers.len()];
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         for hall in halls {
-            let of_hall = Arc::new(Memory::default());
+            let hall_filter = Arc::new(RepeatFilter::default());
             for number in 0..hall.nodes {
                 let node = Arc::new(Node {
                     name: format!("{}-{number}", hall.name),
                     hall: hall.name.clone(),
                     speed: hall.speed,
                     slots: hall.slots,
-                    free: Semaphore::new(hall.slots),
+                    free_slots: Semaphore::new(hall.slots),
                     classes: classes.iter().map(|class| (class.name.clone(), class.clone())).collect(),
                     faults: faults.clone(),
-                    random: Mutex::new(random.fork()),
-                    of_hall: of_hall.clone(),
-                    of_all: of_all.clone(),
-                    truth: truth.clone(),
+                    rng: Mutex::new(rng.fork()),
+                    hall_filter: hall_filter.clone(),
+                    installation_filter: installation_filter.clone(),
+                    ground_truth: ground_truth.clone(),
                     jobs: Mutex::default(),
                     dispatchers: dispatchers.to_vec(),
-                    idle: Mutex::default(),
+                    idle_connections: Mutex::default(),
                 });
                 for (dispatcher, hosts) in hosts.iter_mut().enumerate() {
                     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -104,6 +104,6 @@
                 }
             }
         }
-        Ok(Halls { truth, hosts })
+        Ok(Halls { ground_truth, hosts })
     }
 }
--- a/stand-ins/src/hollow/runner.rs
+++ b/stand-ins/src/hollow/runner.rs
@@ -1,13 +1,12 @@
-//! One hollow runner: its addresses, its life from one start to the next loss, and the requests that run. It owns
-//! the timers of what runs and the order in which a machine vanishes; it must never decide what runs when, nor
-//! read or write a connection.
+//! One hollow runner: its addresses, its lifetime from a start to the next crash, and the timers of running
+//! requests. Which request runs when is decided in `slots`.
 
-use super::counted::{Count, Level};
+use super::callbacks::IdleConnection;
+use super::metrics::{Counter, Gauge};
 use super::shared::Shared;
-use super::slots::{GivenUp, Load, Slots, Start};
-use super::telling::Resting;
-use super::{Planned, connections};
-use crate::tally::Side;
+use super::slots::{CancelOutcome, Load, Slots, StartedJob};
+use super::{RunnerSpec, connections};
+use crate::metrics::TrafficSource;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,41 +15,42 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Connections that may wait to be accepted.
+/// The maximum length of a listener's accept queue.
 const BACKLOG: u32 = 1024;
-/// Wait before a listener that ran out of descriptors tries again.
+/// Pause before accepting again after an error, such as running out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What everything that a runner does until it is lost holds: it sees the end, and the end waits for it.
-pub type Life = watch::Receiver<()>;
+/// Held by every task of a runner until it crashes: the tasks are notified of the crash, and the crash
+/// waits until all are dropped.
+pub type Lifetime = watch::Receiver<()>;
 
-enum Standing {
+enum State {
     Up {
-        life: watch::Sender<()>,
-        accepting: Vec<JoinHandle<()>>,
+        lifetime: watch::Sender<()>,
+        accept_tasks: Vec<JoinHandle<()>>,
     },
-    /// Its addresses, held by sockets that don't listen.
+    /// The addresses, kept bound by sockets that don't listen.
     Down(Vec<TcpSocket>),
 }
 
-/// A runner.
+/// A hollow runner.
 pub struct Runner {
     pub number: usize,
     pub name: String,
     pub region: usize,
     pub shared: Arc<Shared>,
-    /// Connections for call-backs that rest.
-    pub resting: Mutex<Vec<Resting>>,
-    dial: Vec<SocketAddr>,
+    /// Idle connections for call-backs.
+    pub idle_connections: Mutex<Vec<IdleConnection>>,
+    addresses: Vec<SocketAddr>,
     slots: Mutex<Slots>,
-    standing: Mutex<Standing>,
+    state: Mutex<State>,
 }
 
-fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder panics")
 }
 
-fn socket(at: SocketAddr) -> io::Result<TcpSocket> {
+fn bind_socket(at: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
@@ -58,171 +58,172 @@
 }
 
 impl Runner {
-    /// Starts one, warm.
-    pub async fn start(number: usize, planned: &Planned, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
+    /// Starts a runner at full speed.
+    pub async fn start(number: usize, spec: &RunnerSpec, shared: Arc<Shared>) -> io::Result<Arc<Runner>> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let sockets = shared.views.iter().map(|_| socket(any)).collect::<io::Result<Vec<_>>>()?;
-        let dial = sockets.iter().map(TcpSocket::local_addr).collect::<io::Result<_>>()?;
+        let sockets = shared.views.iter().map(|_| bind_socket(any)).collect::<io::Result<Vec<_>>>()?;
+        let addresses = sockets.iter().map(TcpSocket::local_addr).collect::<io::Result<_>>()?;
         let runner = Arc::new(Runner {
             number,
-            name: planned.name.clone(),
-            region: planned.region,
-            resting: Mutex::default(),
-            dial,
-            slots: Mutex::new(Slots::new(planned.slots, shared.manner.warming)),
-            standing: Mutex::new(Standing::Down(sockets)),
+            name: spec.name.clone(),
+            region: spec.region,
+            idle_connections: Mutex::default(),
+            addresses,
+            slots: Mutex::new(Slots::new(spec.slots, shared.profile.slow_start)),
+            state: Mutex::new(State::Down(sockets)),
             shared,
         });
         runner.listen()?;
         Ok(runner)
     }
 
-    pub fn dial(&self) -> &[SocketAddr] {
-        &self.dial
+    pub fn addresses(&self) -> &[SocketAddr] {
+        &self.addresses
     }
 
-    /// Listens at its addresses; changes nothing if it does so already.
+    /// Listens at its addresses; does nothing if it already does.
     fn listen(self: &Arc<Self>) -> io::Result<()> {
-        let mut standing = held(&self.standing);
-        let Standing::Down(sockets) = &mut *standing else { return Ok(()) };
+        let mut state = lock(&self.state);
+        let State::Down(sockets) = &mut *state else { return Ok(()) };
         let listeners = sockets.drain(..).map(|socket| socket.listen(BACKLOG));
         let listeners = listeners.collect::<io::Result<Vec<_>>>()?;
-        let life = watch::channel(()).0;
-        let accepting = listeners.into_iter().enumerate();
-        let accepting =
-            accepting.map(|(view, at)| tokio::spawn(self.clone().accept(view, at, life.subscribe())));
-        *standing = Standing::Up { accepting: accepting.collect(), life };
+        let lifetime = watch::channel(()).0;
+        let accept_tasks = listeners.into_iter().enumerate();
+        let accept_tasks = accept_tasks
+            .map(|(view, at)| tokio::spawn(self.clone().accept_connections(view, at, lifetime.subscribe())));
+        *state = State::Up { accept_tasks: accept_tasks.collect(), lifetime };
         Ok(())
     }
 
-    async fn accept(self: Arc<Self>, view: usize, listener: TcpListener, life: Life) {
+    async fn accept_connections(self: Arc<Self>, view: usize, listener: TcpListener, lifetime: Lifetime) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(connections::serve(self.clone(), view, stream, life.clone()));
+                    tokio::spawn(connections::serve(self.clone(), view, stream, lifetime.clone()));
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
         }
     }
 
-    /// It starts again, cold and empty.
-    pub fn up(self: &Arc<Self>) -> io::Result<()> {
-        if matches!(*held(&self.standing), Standing::Down(_)) {
-            held(&self.slots).restart(self.shared.now_us());
+    /// Restarts a crashed runner with an empty queue and a cold start.
+    pub fn restart(self: &Arc<Self>) -> io::Result<()> {
+        if matches!(*lock(&self.state), State::Down(_)) {
+            lock(&self.slots).start_cold(self.shared.now_us());
         }
         self.listen()
     }
 
-    /// Its machine vanishes. Returns once nothing of it is left.
-    pub async fn down(&self) -> io::Result<()> {
-        let before = {
-            let mut standing = held(&self.standing);
-            if matches!(*standing, Standing::Down(_)) {
+    /// Crashes the machine. Returns once all connections and jobs are gone.
+    pub async fn crash(&self) -> io::Result<()> {
+        let previous = {
+            let mut state = lock(&self.state);
+            if matches!(*state, State::Down(_)) {
                 return Ok(());
             }
-            std::mem::replace(&mut *standing, Standing::Down(Vec::new()))
+            std::mem::replace(&mut *state, State::Down(Vec::new()))
         };
-        let Standing::Up { life, accepting } = before else { return Ok(()) };
-        for task in accepting {
+        let State::Up { lifetime, accept_tasks } = previous else { return Ok(()) };
+        for task in accept_tasks {
             task.abort();
             let _ = task.await;
         }
-        // At once, so that nobody who connects anywhere is given one of these ports as its own.
-        let sockets = self.dial.iter().map(|at| socket(*at)).collect::<io::Result<Vec<_>>>()?;
-        life.send_replace(());
-        life.closed().await;
+        // Binds the ports again at once, so that no outgoing connection is given one of them as its local
+        // port.
+        let sockets = self.addresses.iter().map(|at| bind_socket(*at)).collect::<io::Result<Vec<_>>>()?;
+        lifetime.send_replace(());
+        lifetime.closed().await;
         let shared = &self.shared;
-        for resting in held(&self.resting).drain(..) {
-            shared.tally.down(shared.side(resting.dispatcher), Level::Resting);
-            resting.connection.reset();
+        for idle in lock(&self.idle_connections).drain(..) {
+            shared.metrics.decrement(shared.source(idle.dispatcher), Gauge::IdleCallBackConnections);
+            idle.connection.reset();
         }
-        for (id, ran) in held(&self.slots).lose() {
-            if let Some(dispatcher) = shared.dispatcher(&id) {
-                let side = shared.side(dispatcher);
-                shared.tally.add(side, Count::Lost, 1);
-                shared.tally.down(side, if ran { Level::Running } else { Level::Queued });
+        for (id, was_running) in lock(&self.slots).drop_all() {
+            if let Some(dispatcher) = shared.dispatcher_of(&id) {
+                let source = shared.source(dispatcher);
+                shared.metrics.add(source, Counter::Lost, 1);
+                shared.metrics.decrement(source, if was_running { Gauge::Running } else { Gauge::Queued });
             }
         }
-        *held(&self.standing) = Standing::Down(sockets);
+        *lock(&self.state) = State::Down(sockets);
         Ok(())
     }
 
-    /// Takes a request of a dispatcher on this side: the number that it has here.
-    pub fn take(self: &Arc<Self>, side: Side, id: &str, work_us: u64) -> u64 {
-        self.shared.tally.up(side, Level::Queued);
-        let (job, start) = held(&self.slots).take(self.shared.now_us(), id, work_us);
-        self.begin(start);
+    /// Accepts a request from a dispatcher and returns its job number.
+    pub fn accept_request(self: &Arc<Self>, source: TrafficSource, id: &str, work_us: u64) -> u64 {
+        self.shared.metrics.increment(source, Gauge::Queued);
+        let (job, started) = lock(&self.slots).accept(self.shared.now_us(), id, work_us);
+        self.start_job(started);
         job
     }
 
-    /// A request is given up, by its id or, before it was answered, by its number here.
-    pub fn give_up(&self, side: Side, id: &str, job: Option<u64>) {
-        let given_up = match job {
-            Some(job) => held(&self.slots).withdraw(job),
-            None => held(&self.slots).give_up(id),
+    /// Cancels a request by its id or, before it was answered, by its job number.
+    pub fn cancel(&self, source: TrafficSource, id: &str, job: Option<u64>) {
+        let outcome = match job {
+            Some(job) => lock(&self.slots).cancel(job),
+            None => lock(&self.slots).cancel_newest(id),
         };
-        match given_up {
-            GivenUp::Waiting => {
-                self.shared.tally.down(side, Level::Queued);
-                self.shared.tally.add(side, Count::GivenUpWaiting, 1);
+        match outcome {
+            CancelOutcome::Queued => {
+                self.shared.metrics.decrement(source, Gauge::Queued);
+                self.shared.metrics.add(source, Counter::CancelledQueued, 1);
             }
-            GivenUp::Running => self.shared.tally.add(side, Count::GivenUpRunning, 1),
-            GivenUp::Unknown => {}
+            CancelOutcome::Running => self.shared.metrics.add(source, Counter::CancelledRunning, 1),
+            CancelOutcome::Unknown => {}
         }
     }
 
-    /// Whether a request of this id is here and wanted.
-    pub fn holds(&self, id: &str) -> bool {
-        held(&self.slots).wants(id)
+    /// Whether the newest request of this id is queued or running and not cancelled.
+    pub fn has_wanted(&self, id: &str) -> bool {
+        lock(&self.slots).is_wanted(id)
     }
 
     pub fn load(&self) -> Load {
-        held(&self.slots).load()
+        lock(&self.slots).load()
     }
 
-    fn begin(self: &Arc<Self>, start: Option<Start>) {
-        let Some(start) = start else { return };
-        let Some(dispatcher) = self.shared.dispatcher(&start.id) else { return };
-        let (side, tally) = (self.shared.side(dispatcher), &self.shared.tally);
-        tally.down(side, Level::Queued);
-        tally.up(side, Level::Running);
-        // One that just vanished begins nothing: it is lost with the rest.
-        let Standing::Up { life, .. } = &*held(&self.standing) else { return };
-        tally.add(side, Count::Started, 1);
-        (self.shared.began)(&start.id, self.number);
-        let mut life = life.subscribe();
+    fn start_job(self: &Arc<Self>, started: Option<StartedJob>) {
+        let Some(job) = started else { return };
+        let Some(dispatcher) = self.shared.dispatcher_of(&job.id) else { return };
+        let (source, metrics) = (self.shared.source(dispatcher), &self.shared.metrics);
+        metrics.decrement(source, Gauge::Queued);
+        metrics.increment(source, Gauge::Running);
+        // A runner that has just crashed starts nothing; the request is lost with the others.
+        let State::Up { lifetime, .. } = &*lock(&self.state) else { return };
+        metrics.add(source, Counter::Started, 1);
+        (self.shared.on_start)(&job.id, self.number);
+        let mut lifetime = lifetime.subscribe();
         let runner = self.clone();
         tokio::spawn(async move {
             tokio::select! {
                 biased;
-                _ = life.changed() => {}
-                () = runner.run(dispatcher, start) => {}
+                _ = lifetime.changed() => {}
+                () = runner.run_job(dispatcher, job) => {}
             }
         });
     }
 
-    async fn run(self: &Arc<Self>, dispatcher: usize, start: Start) {
-        let (side, tally) = (self.shared.side(dispatcher), &self.shared.tally);
-        // Its slot is free at its end, however long its dispatcher is deaf.
+    async fn run_job(self: &Arc<Self>, dispatcher: usize, job: StartedJob) {
+        let (source, metrics) = (self.shared.source(dispatcher), &self.shared.metrics);
+        // The slot becomes free when the work ends, even if the dispatcher does not answer call-backs.
         let work = async {
-            tokio::time::sleep_until(self.shared.epoch + Duration::from_micros(start.ends_us)).await;
-            let ended = held(&self.slots).end(self.shared.now_us(), start.job);
-            tally.down(side, Level::Running);
-            tally.add(side, Count::Ended, 1);
+            tokio::time::sleep_until(self.shared.epoch + Duration::from_micros(job.ends_us)).await;
+            let ended = lock(&self.slots).finish(self.shared.now_us(), job.number);
+            metrics.decrement(source, Gauge::Running);
+            metrics.add(source, Counter::Ended, 1);
             ended.is_some_and(|ended| {
-                self.begin(ended.next);
+                self.start_job(ended.next_started);
                 ended.wanted
             })
         };
-        let told = async {
-            if self.shared.manner.tells_start {
-                self.tell(dispatcher, &start.id, "started").await;
+        let start_callback = async {
+            if self.shared.profile.reports_start {
+                self.call_back(dispatcher, &job.id, "started").await;
             }
         };
-        let (wanted, ()) = tokio::join!(work, told);
+        let (wanted, ()) = tokio::join!(work, start_callback);
         if wanted {
-            self.tell(dispatcher, &start.id, "done").await;
+            self.call_back(dispatcher, &job.id, "done").await;
         }
     }
 }
