--- a/node/src/core/timers.rs
+++ b/node/src/core/timers.rs
@@ -1,6 +1,5 @@
-//! The reducer's timers: the module's, the requests' deadlines and the end of the program. It owns their
-//! order, and sees to it that a step runs each due one once and ends. It must never read a clock: time
-//! comes with each step.
+//! The core's timers: the balancer's, the requests' deadlines and the end of the program. Each step runs
+//! every due timer once; the time comes with the step.
 
 use super::Core;
 use sablerun as sr;
@@ -8,7 +7,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    Module(u64),
+    Balancer(u64),
     Deadline(u32),
     Stop,
 }
@@ -20,12 +19,12 @@
     }
 
     pub(super) fn set_timer(&mut self, at: sr::Time, timer: Timer) {
-        self.timers_set += 1;
-        self.timers.push(Reverse((at, self.timers_set, timer)));
+        self.timer_sequence += 1;
+        self.timers.push(Reverse((at, self.timer_sequence, timer)));
     }
 
     pub(super) fn run_timers(&mut self, now: sr::Time) {
-        // Timers that the due ones set wait for the next step, so that a step always ends.
+        // Timers set by the due ones wait for the next step, so that a step always terminates.
         let mut due = Vec::new();
         while let Some(&Reverse((at, _, timer))) = self.timers.peek()
             && at <= now
@@ -35,12 +34,12 @@
         }
         for timer in due {
             match timer {
-                Timer::Module(token) => self.tell(now, sr::Event::Timer(token)),
-                Timer::Deadline(request) => self.overdue(now, request, false),
+                Timer::Balancer(token) => self.notify(now, sr::Event::Timer(token)),
+                Timer::Deadline(request) => self.expire_request(now, request, false),
                 Timer::Stop => {
                     let mut open: Vec<u32> = self.requests.keys().copied().collect();
                     open.sort_unstable();
-                    open.into_iter().for_each(|request| self.overdue(now, request, true));
+                    open.into_iter().for_each(|request| self.expire_request(now, request, true));
                 }
             }
         }
