--- a/node/src/net/faktory.rs
+++ b/node/src/net/faktory.rs
@@ -2,7 +2,7 @@
 //! workers fetch from. It is a front and a link at once: a PUSH becomes a request with one final answer,
 //! and an attempt goes to the worker that the balancer chose, whether or not that is parked in FETCH. Never
 //! chooses a worker, repeats a job or hands one to a quiet worker. An ACK or FAIL of a finished job changes
-//! nothing.
+//! nothing. In the protocol a `wid` is the id of a worker process, and a `jid` that of a job.
 
 use crate::core::{Answer, Arrival, AttemptEnd, AttemptId, Input, ListedRunner, Source};
 use crate::limits::Limits;
@@ -30,6 +30,7 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaktoryConfig {
+    /// The address for Faktory clients and workers.
     pub listen: SocketAddr,
     /// No TLS and no identities; must be stated explicitly.
     #[serde(default)]
@@ -41,14 +42,18 @@
     /// The zone and machine kind of workers whose identity names none.
     pub zone: Option<String>,
     pub kind: Option<String>,
+    /// How long a FETCH waits for a job, in milliseconds.
     #[serde(default = "default_fetch_wait")]
     pub fetch_wait_ms: u64,
+    /// Seconds after a worker's last BEAT, ACK, FAIL or new connection until it is removed.
     #[serde(default = "default_beat_limit")]
     pub beat_limit_s: f64,
     /// Most jobs that may be queued for a worker's next FETCH.
     #[serde(default = "default_queue")]
     pub queue_per_worker: usize,
+    /// The files for TLS, which is required unless `plaintext` is set.
     pub tls: Option<spiffe::Files>,
+    /// The identities that may connect over TLS.
     #[serde(default)]
     pub identity: Vec<Identity>,
     #[serde(default)]
@@ -231,6 +236,7 @@
 
 /// A worker process, identified by its wid.
 struct Worker {
+    /// The name of the peer that registered it.
     peer: String,
     zone: String,
     kind: String,
@@ -238,7 +244,9 @@
     /// The numbers of its connections; those of an earlier process with the same wid are not among them.
     connections: HashSet<u64>,
     last_beat: Instant,
+    /// It reported that it takes no more jobs.
     quiet: bool,
+    /// The queues that its FETCHes have named so far.
     queues: HashSet<String>,
     parked: VecDeque<ParkedFetch>,
     queued: VecDeque<QueuedJob>,
@@ -265,9 +273,11 @@
     password: Option<String>,
     identities: Option<Arc<Identities>>,
     workers: RefCell<HashMap<String, Worker>>,
+    /// The wid and the jid of each attempt.
     attempts: RefCell<HashMap<AttemptId, (String, Rc<str>)>>,
     connections: Cell<usize>,
     connection_closed: Notify,
+    /// The number of the latest connection.
     last_connection: Cell<u64>,
     command_count: Cell<u64>,
 }
@@ -342,9 +352,9 @@
                 match acceptor {
                     None => front.clone().serve_connection(stream, front.plaintext_peer(from)).await,
                     Some(acceptor) => {
-                        let handshake =
+                        let tls_handshake =
                             tokio::time::timeout(front.runtime.limits.head_timeout, acceptor.accept(stream));
-                        match handshake.await {
+                        match tls_handshake.await {
                             Ok(Ok(stream)) => match front.tls_peer(stream.get_ref().1) {
                                 Ok(peer) => front.serve_connection(stream, peer).await,
                                 Err(reason) => log::warn!("faktory: peer at {from} refused: {reason}"),
@@ -372,7 +382,7 @@
             let silent_wids: Vec<_> =
                 workers.iter().filter(|(_, w)| silent(w)).map(|(wid, _)| wid.clone()).collect();
             drop(workers);
-            // A cancelled job counts as running only for as long as its worker may reserve it.
+            // A cancelled job counts as running only for the time for which its worker may go on with it.
             let expired = |job: &RunningJob| {
                 job.attempt.is_none() && job.started.elapsed() > self.runtime.limits.orphan_timeout
             };
@@ -403,8 +413,8 @@
     }
 
     /// Returns the peer of a connection without TLS, which may be a client and a worker.
-    pub fn plaintext_peer(&self, from: SocketAddr) -> Peer {
-        let name = from.ip().to_string();
+    pub fn plaintext_peer(&self, address: SocketAddr) -> Peer {
+        let name = address.ip().to_string();
         Peer { name, is_client: true, is_worker: true, member: None, zone: None, kind: None }
     }
 
@@ -692,7 +702,7 @@
     ) -> Result<Result<(), String>, Disconnect> {
         let (ticket, mut answer) = self.runtime.ticket(arrival.class);
         arrival.ticket = ticket;
-        let _here = ClientGuard::new(&self.runtime, ticket);
+        let _client_guard = ClientGuard::new(&self.runtime, ticket);
         self.runtime.feed(Input::Arrived(arrival));
         let answer = loop {
             tokio::select! {
@@ -726,13 +736,13 @@
         }
         let (delivery, mut delivered) = oneshot::channel();
         self.park_fetch(wid, ParkedFetch { connection, queues, delivery });
-        let end = tokio::time::Instant::now() + Duration::from_millis(self.config.fetch_wait_ms);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(self.config.fetch_wait_ms);
         let job = loop {
             tokio::select! {
                 biased;
                 job = &mut delivered => break job.ok(),
                 more = transport.fill() => more?,
-                () = tokio::time::sleep_until(end) => {
+                () = tokio::time::sleep_until(deadline) => {
                     if let Some(worker) = self.workers.borrow_mut().get_mut(wid) {
                         worker.parked.retain(|parked| parked.connection != connection);
                     }
@@ -864,7 +874,7 @@
     fn disconnect(&self, wid: &str, connection: Option<u64>) {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(wid) else { return };
-        // A connection of an earlier process with this wid may end only now.
+        // A connection of an earlier process with this wid may end only now, which must not affect this one.
         if connection.is_some_and(|connection| !worker.connections.remove(&connection)) {
             return;
         }
@@ -1084,14 +1094,14 @@
     async fn read_rest_of_line(&mut self) -> Result<String, Disconnect> {
         let mut searched = 0;
         loop {
-            if let Some(at) = self.buffer[searched..].iter().position(|&b| b == b'\n') {
-                if searched + at > self.max_frame_bytes {
+            if let Some(newline) = self.buffer[searched..].iter().position(|&b| b == b'\n') {
+                if searched + newline > self.max_frame_bytes {
                     return Err(Disconnect::WithError(format!(
                         "MALFORMED a frame is longer than {} bytes",
                         self.max_frame_bytes
                     )));
                 }
-                let line = self.buffer.split_to(searched + at);
+                let line = self.buffer.split_to(searched + newline);
                 self.buffer.advance(1);
                 let line = line.strip_suffix(b"\r").unwrap_or(&line);
                 let line = std::str::from_utf8(line)
